--- a/packages/consensus/src/lib/Applier.ts
+++ b/packages/consensus/src/lib/Applier.ts
@@ -5,7 +5,7 @@
 import type { Snapshot } from './records';
 
 /** Entries applied at a time before the event loop is given back. */
-const MAX_SLICE = 512;
+const MAX_ENTRIES_PER_TURN = 512;
 
 const NO_RESULT = new Uint8Array();
 
@@ -21,9 +21,9 @@
 
   readonly #core: Core;
 
-  #applied: number;
+  #appliedIndex: number;
 
-  #bytes = 0;
+  #appliedBytes = 0;
 
   #isSaving = false;
 
@@ -33,11 +33,11 @@
 
   constructor(core: Core) {
     this.#core = core;
-    this.#applied = core.store.snapshotIndex;
+    this.#appliedIndex = core.store.snapshotIndex;
   }
 
   get appliedIndex(): number {
-    return this.#applied;
+    return this.#appliedIndex;
   }
 
   /** Applies what is committed; a long backlog is spread over several turns of the event loop. */
@@ -45,15 +45,15 @@
     if (this.#continuation) return;
     const { commitIndex, store, settings, role } = this.#core;
     if (role === 'stopped') return;
-    const end = Math.min(commitIndex, this.#applied + MAX_SLICE);
-    while (this.#applied < end) {
-      const entry = store.entry(this.#applied + 1);
+    const end = Math.min(commitIndex, this.#appliedIndex + MAX_ENTRIES_PER_TURN);
+    while (this.#appliedIndex < end) {
+      const entry = store.entry(this.#appliedIndex + 1);
       if (!entry || !this.#applyEntry(entry)) return;
     }
-    this.#core.membership.compact(this.#applied);
-    this.#wake();
+    this.#core.membership.compact(this.#appliedIndex);
+    this.#resolveWaiters();
     this.saveSnapshot();
-    if (this.#applied >= this.#core.commitIndex) return;
+    if (this.#appliedIndex >= this.#core.commitIndex) return;
     this.#continuation = settings.timer.after(0, () => {
       this.#continuation = undefined;
       this.apply();
@@ -62,7 +62,7 @@
 
   /** Resolves once an index is applied; false if the replica stops before. */
   waitFor(index: number): Promise<boolean> {
-    if (this.#applied >= index) return Promise.resolve(true);
+    if (this.#appliedIndex >= index) return Promise.resolve(true);
     return new Promise((resolve) => {
       this.#waiters.push({ index, resolve });
     });
@@ -76,23 +76,23 @@
       this.#fail(error);
       return;
     }
-    this.#applied = snapshot.index;
-    this.#bytes = 0;
-    this.#wake();
+    this.#appliedIndex = snapshot.index;
+    this.#appliedBytes = 0;
+    this.#resolveWaiters();
   }
 
   /** Takes a snapshot if enough was applied since the latest and all of it is synced. */
   saveSnapshot(): void {
     const { store, settings, membership, installing } = this.#core;
-    const grown =
-      this.#applied - store.snapshotIndex >= settings.snapshotEntries ||
-      this.#bytes >= settings.snapshotBytes;
-    if (!grown || this.#isSaving || installing || this.#applied > store.syncedIndex) return;
-    const index = this.#applied;
+    const isDue =
+      this.#appliedIndex - store.snapshotIndex >= settings.snapshotEntries ||
+      this.#appliedBytes >= settings.snapshotBytes;
+    if (!isDue || this.#isSaving || installing || this.#appliedIndex > store.syncedIndex) return;
+    const index = this.#appliedIndex;
     const term = store.term(index);
     if (term === undefined) return;
     this.#isSaving = true;
-    this.#bytes = 0;
+    this.#appliedBytes = 0;
     const state = settings.machine.snapshot();
     store
       .compact({ index, term, membership: membership.at(index), state })
@@ -117,8 +117,8 @@
       const isCommand = entry.kind === EntryKind.Command;
       const { machine } = this.#core.settings;
       const result = isCommand ? machine.apply(entry.index, entry.data) : NO_RESULT;
-      this.#applied = entry.index;
-      this.#bytes += entryBytes(entry);
+      this.#appliedIndex = entry.index;
+      this.#appliedBytes += entryBytes(entry);
       this.onEntry(entry, result);
       return true;
     } catch (error) {
@@ -132,10 +132,10 @@
     this.#core.onFailure(new Failure(baseCodes.internal, message, { cause: error }));
   }
 
-  #wake(): void {
+  #resolveWaiters(): void {
     if (this.#waiters.length === 0) return;
-    const due = this.#waiters.filter(({ index }) => index <= this.#applied);
-    this.#waiters = this.#waiters.filter(({ index }) => index > this.#applied);
+    const due = this.#waiters.filter(({ index }) => index <= this.#appliedIndex);
+    this.#waiters = this.#waiters.filter(({ index }) => index > this.#appliedIndex);
     due.forEach(({ resolve }) => resolve(true));
   }
 }
--- a/packages/consensus/src/lib/Core.ts
+++ b/packages/consensus/src/lib/Core.ts
@@ -4,7 +4,7 @@
 import { consensusEvents } from './events';
 import type { GroupId, Identity, Incarnation, ReplicaName } from './ids';
 import type { LogStore } from './LogStore';
-import { decodeMembership, quorumSets, voters, type Membership } from './Membership';
+import { decodeMembership, voterSets, voters, type Membership } from './Membership';
 import type { MembershipHistory } from './MembershipHistory';
 import type { MessageBody, Message } from './Message';
 import type { HardState } from './records';
@@ -12,15 +12,15 @@
 import type { Role, RoleEvent } from './roleMachine';
 
 /** Least time until an election is tried again, as a share of the election timeout. */
-const MIN_RETRY_SHARE = 0.2;
+const MIN_RETRY_FRACTION = 0.2;
 
 /** Messages that wait for the disk; more are dropped, as on a network that loses them. */
-const MAX_OUTBOX = 1024;
+const MAX_PENDING_ACTIONS = 1024;
 
 /** A lease that this replica has granted to a leader, by its own monotonic clock. */
 interface GrantedLease {
   readonly term: number;
-  readonly until: number;
+  readonly expiresAt: number;
 }
 
 interface CoreParts {
@@ -29,7 +29,7 @@
   readonly store: LogStore;
   readonly membership: MembershipHistory;
   /** Time until which a lease granted before a restart may run. */
-  readonly unknownLeaseUntil: number;
+  readonly preRestartLeaseUntil: number;
 }
 
 /**
@@ -46,13 +46,13 @@
 
   readonly membership: MembershipHistory;
 
-  readonly unknownLeaseUntil: number;
+  readonly preRestartLeaseUntil: number;
 
   role: Role = 'learner';
 
   leader: Identity | undefined;
 
-  granted: GrantedLease = { term: 0, until: 0 };
+  grantedLease: GrantedLease = { term: 0, expiresAt: 0 };
 
   electionDeadline = 0;
 
@@ -60,7 +60,7 @@
   installing = false;
 
   /** Sends an event to the role machine. */
-  sendRole: (event: RoleEvent) => void = () => {};
+  sendRoleEvent: (event: RoleEvent) => void = () => {};
 
   /** Called when the commit index has grown. */
   onCommit: () => void = () => {};
@@ -70,18 +70,18 @@
 
   #commitIndex: number;
 
-  #outbox: (() => void)[] = [];
+  #pendingActions: (() => void)[] = [];
 
-  #saving = false;
+  #isSaving = false;
 
-  #dirty = false;
+  #isDirty = false;
 
   constructor(parts: CoreParts) {
     this.settings = parts.settings;
     this.identity = parts.identity;
     this.store = parts.store;
     this.membership = parts.membership;
-    this.unknownLeaseUntil = parts.unknownLeaseUntil;
+    this.preRestartLeaseUntil = parts.preRestartLeaseUntil;
     this.#commitIndex = parts.store.snapshotIndex;
     this.resetElectionDeadline();
   }
@@ -118,15 +118,15 @@
    */
   get isVoter(): boolean {
     const { latest, latestIndex } = this.membership;
-    const isIn = (membership: Membership): boolean =>
+    const isVoterIn = (membership: Membership): boolean =>
       voters(membership).includes(this.identity.incarnation);
-    if (isIn(latest)) return true;
-    return latestIndex > this.#commitIndex && isIn(this.membership.at(latestIndex - 1));
+    if (isVoterIn(latest)) return true;
+    return latestIndex > this.#commitIndex && isVoterIn(this.membership.at(latestIndex - 1));
   }
 
   /** Voter sets of which each must agree. */
-  get quorums(): (readonly Incarnation[])[] {
-    return quorumSets(this.membership.latest);
+  get voterSets(): (readonly Incarnation[])[] {
+    return voterSets(this.membership.latest);
   }
 
   isSelf(identity: Pick<Identity, 'incarnation'>): boolean {
@@ -154,7 +154,7 @@
 
   /** Makes a role of a learner or voter out of the present membership. */
   updateVotingRole(): void {
-    this.sendRole({ type: this.isVoter ? 'voteGained' : 'voteLost' });
+    this.sendRoleEvent({ type: this.isVoter ? 'voteGained' : 'voteLost' });
   }
 
   commitTo(index: number): void {
@@ -164,12 +164,12 @@
     this.#commitIndex = index;
     this.onCommit();
     if (!hasNewMembership) return;
-    this.#noteMembership();
+    this.#saveWasMember();
     this.updateVotingRole();
   }
 
   /** Remembers that this incarnation has been a member, once that is committed. */
-  #noteMembership(): void {
+  #saveWasMember(): void {
     const isMember = this.membership.find(this.identity.incarnation) !== undefined;
     if (!isMember || this.store.state.wasMember) return;
     this.#save({ ...this.store.state, wasMember: true });
@@ -181,9 +181,9 @@
   }
 
   /** Sets the deadline of an election that has begun: sooner, so that a split vote costs little. */
-  setElectionRetry(): void {
+  setElectionRetryDeadline(): void {
     const { electionTimeoutMs, random } = this.settings;
-    const delayMs = random.between(MIN_RETRY_SHARE * electionTimeoutMs, electionTimeoutMs);
+    const delayMs = random.between(MIN_RETRY_FRACTION * electionTimeoutMs, electionTimeoutMs);
     this.electionDeadline = this.now + delayMs;
   }
 
@@ -201,28 +201,28 @@
   }
 
   /** Fails the replica with an error of the disk. */
-  failDisk(error: unknown): void {
+  handleDiskError(error: unknown): void {
     const message = `the disk failed: ${String(error)}`;
     this.onFailure(new Failure(consensusCodes.diskFailed, message, { cause: error }));
   }
 
   /** Runs once the present term and vote are durable. */
   whenSaved(action: () => void): void {
-    if (this.#saving) this.#outbox.push(action);
+    if (this.#isSaving) this.#pendingActions.push(action);
     else action();
   }
 
   send(to: Identity, body: MessageBody): void {
-    this.#post(to.replica, to.incarnation, body);
+    this.#sendWhenSaved(to.replica, to.incarnation, body);
   }
 
   /** Sends to a replica whose incarnation is not known. */
   sendByName(replica: ReplicaName, body: MessageBody): void {
-    this.#post(replica, '', body);
+    this.#sendWhenSaved(replica, '', body);
   }
 
-  #post(replica: ReplicaName, incarnation: Incarnation | '', body: MessageBody): void {
-    if (this.#outbox.length >= MAX_OUTBOX) return;
+  #sendWhenSaved(replica: ReplicaName, incarnation: Incarnation | '', body: MessageBody): void {
+    if (this.#pendingActions.length >= MAX_PENDING_ACTIONS) return;
     const { term, group, identity } = this;
     const message: Message = { group, from: identity, to: { replica, incarnation }, term, body };
     const member = this.membership.latest.members.find((item) => item.incarnation === incarnation);
@@ -231,22 +231,22 @@
 
   #save(state: HardState): void {
     this.store.setState(state);
-    this.#dirty = true;
-    if (this.#saving) return;
-    this.#saving = true;
+    this.#isDirty = true;
+    if (this.#isSaving) return;
+    this.#isSaving = true;
     this.#saveUntilClean().catch(() => {
       // The store has reported the failure, and the replica stops.
     });
   }
 
   async #saveUntilClean(): Promise<void> {
-    while (this.#dirty) {
-      this.#dirty = false;
+    while (this.#isDirty) {
+      this.#isDirty = false;
       await this.store.saveState();
     }
-    this.#saving = false;
-    const outbox = this.#outbox;
-    this.#outbox = [];
-    for (const action of outbox) action();
+    this.#isSaving = false;
+    const actions = this.#pendingActions;
+    this.#pendingActions = [];
+    for (const action of actions) action();
   }
 }
--- a/packages/consensus/src/lib/Elector.test.ts
+++ b/packages/consensus/src/lib/Elector.test.ts
@@ -6,7 +6,7 @@
 const FAILOVER_MS = 2000;
 
 /** A follower is cut off for a while; returns how many terms have begun after its return. */
-async function returnFromIsolation(unsafe: UnsafeDeviations): Promise<number> {
+async function countTermsAfterIsolation(unsafe: UnsafeDeviations): Promise<number> {
   const { cluster, leader, others } = await createGroup({ unsafe });
   const [isolated] = others;
   assert.ok(isolated);
@@ -20,8 +20,8 @@
 }
 
 test('a replica that returns from a partition does not depose the leader', async () => {
-  assert.equal(await returnFromIsolation({}), 0);
-  assert.ok((await returnFromIsolation({ skipPreVote: true })) > 0);
+  assert.equal(await countTermsAfterIsolation({}), 0);
+  assert.ok((await countTermsAfterIsolation({ skipPreVote: true })) > 0);
 });
 
 test('a command is committed soon after the leader has crashed', async () => {
--- a/packages/consensus/src/lib/Elector.ts
+++ b/packages/consensus/src/lib/Elector.ts
@@ -17,7 +17,7 @@
 
   readonly #core: Core;
 
-  readonly #granted = new Set<Incarnation>();
+  readonly #grantedBy = new Set<Incarnation>();
 
   /** Term whose leader handed over to this replica; 0 if none did. */
   #transferOf = 0;
@@ -27,35 +27,36 @@
   }
 
   /** Stands at once, on the word of a leader that has given up its lease. */
-  standForTransfer(): void {
+  startTransferElection(): void {
     this.#transferOf = this.#core.term;
     this.#core.resetElectionDeadline();
-    this.#core.sendRole({ type: 'transferRequested' });
+    this.#core.sendRoleEvent({ type: 'transferRequested' });
   }
 
   startPreVote(): void {
     const core = this.#core;
     core.leader = undefined;
     this.#transferOf = 0;
-    this.#granted.clear();
+    this.#grantedBy.clear();
     const { lastIndex, lastTerm } = core.store;
     const body: PreVote = { type: 'preVote', nextTerm: core.term + 1, lastIndex, lastTerm };
     core.peers.forEach((peer) => core.send(peer, body));
-    this.#count(core.identity.incarnation);
+    this.#countGrant(core.identity.incarnation);
   }
 
   startVote(): void {
     const core = this.#core;
     core.saveTerm(core.term + 1, core.identity.incarnation);
-    this.#granted.clear();
-    this.leaseRemainingMs = this.#unknownLeaseMs;
+    this.#grantedBy.clear();
+    this.leaseRemainingMs = this.#preRestartLeaseMs;
     const { lastIndex, lastTerm } = core.store;
     const body: Vote = { type: 'vote', lastIndex, lastTerm, transferOf: this.#transferOf };
     this.#transferOf = 0;
     core.peers.forEach((peer) => core.send(peer, body));
     const { term } = core;
     core.whenSaved(() => {
-      if (core.role === 'candidate' && core.term === term) this.#count(core.identity.incarnation);
+      if (core.role === 'candidate' && core.term === term)
+        this.#countGrant(core.identity.incarnation);
     });
   }
 
@@ -68,7 +69,7 @@
   onPreVoteReply({ from, body }: Message<PreVoteReply>): void {
     const core = this.#core;
     if (core.role !== 'preCandidate' || !body.granted) return;
-    if (body.nextTerm === core.term + 1) this.#count(from.incarnation);
+    if (body.nextTerm === core.term + 1) this.#countGrant(from.incarnation);
   }
 
   onVote({ from, term, body }: Message<Vote>): void {
@@ -77,12 +78,12 @@
     if (term >= core.term && !this.#isBoundByLease(body.transferOf)) {
       if (term > core.term) {
         core.saveTerm(term, '');
-        core.sendRole({ type: 'newerTerm' });
+        core.sendRoleEvent({ type: 'newerTerm' });
       }
       if (this.#mayVote(from.incarnation) && this.#isUpToDate(body)) {
         core.saveTerm(term, from.incarnation);
         core.resetElectionDeadline();
-        const leaseRemainingMs = this.#unknownLeaseMs;
+        const leaseRemainingMs = this.#preRestartLeaseMs;
         core.send(from, { type: 'voteReply', granted: true, leaseRemainingMs });
         return;
       }
@@ -93,18 +94,18 @@
   onVoteReply({ from, body }: Message<VoteReply>): void {
     if (this.#core.role !== 'candidate' || !body.granted) return;
     this.leaseRemainingMs = Math.max(this.leaseRemainingMs, body.leaseRemainingMs);
-    this.#count(from.incarnation);
+    this.#countGrant(from.incarnation);
   }
 
   /** Time for which a lease may run that was granted before this replica's restart. */
-  get #unknownLeaseMs(): number {
-    return Math.max(0, this.#core.unknownLeaseUntil - this.#core.now);
+  get #preRestartLeaseMs(): number {
+    return Math.max(0, this.#core.preRestartLeaseUntil - this.#core.now);
   }
 
   #isBoundByLease(transferOf: number): boolean {
-    const { settings, granted, now } = this.#core;
+    const { settings, grantedLease, now } = this.#core;
     if (settings.unsafe.ignoreGrantedLease) return false;
-    const isBound = now < granted.until && granted.term !== transferOf;
+    const isBound = now < grantedLease.expiresAt && grantedLease.term !== transferOf;
     return isBound || now < this.ownLeaseEnd();
   }
 
@@ -119,14 +120,14 @@
     return (vote === '' && role !== 'leader') || vote === candidate;
   }
 
-  #count(incarnation: Incarnation): void {
+  #countGrant(incarnation: Incarnation): void {
     const core = this.#core;
-    this.#granted.add(incarnation);
-    const isQuorum = core.quorums.every((set) => {
-      const count = set.filter((voter) => this.#granted.has(voter)).length;
+    this.#grantedBy.add(incarnation);
+    const isQuorum = core.voterSets.every((set) => {
+      const count = set.filter((voter) => this.#grantedBy.has(voter)).length;
       return count >= majority(set.length);
     });
     if (!isQuorum) return;
-    core.sendRole({ type: core.role === 'preCandidate' ? 'preVoteWon' : 'voteWon' });
+    core.sendRoleEvent({ type: core.role === 'preCandidate' ? 'preVoteWon' : 'voteWon' });
   }
 }
--- a/packages/consensus/src/lib/FileDisk.test.ts
+++ b/packages/consensus/src/lib/FileDisk.test.ts
@@ -5,15 +5,15 @@
 import test, { type TestContext } from 'node:test';
 import { FileDisk } from './FileDisk';
 
-async function createFolder(t: TestContext): Promise<string> {
-  const folder = await mkdtemp(join(tmpdir(), 'consensus-'));
-  t.after(() => rm(folder, { recursive: true }));
-  return folder;
+async function createDirectory(t: TestContext): Promise<string> {
+  const directory = await mkdtemp(join(tmpdir(), 'consensus-'));
+  t.after(() => rm(directory, { recursive: true }));
+  return directory;
 }
 
 test('keeps what was appended, replaced and cut', async (t) => {
-  const folder = await createFolder(t);
-  const disk = await FileDisk.open(join(folder, 'data'));
+  const directory = await createDirectory(t);
+  const disk = await FileDisk.open(join(directory, 'data'));
   await disk.append('log-1', Buffer.from('abc'));
   await disk.append('log-1', Buffer.from('def'));
   await disk.replace('state', Buffer.from('old'));
@@ -24,17 +24,17 @@
   await disk.remove('log-2');
   await disk.remove('log-2');
   await disk.close();
-  const again = await FileDisk.open(join(folder, 'data'));
-  assert.deepEqual(await again.list(), ['log-1', 'state']);
-  assert.equal(Buffer.from(await again.read('log-1')).toString(), 'abcd!');
-  assert.equal(Buffer.from(await again.read('state')).toString(), 'new');
-  await again.close();
+  const reopened = await FileDisk.open(join(directory, 'data'));
+  assert.deepEqual(await reopened.list(), ['log-1', 'state']);
+  assert.equal(Buffer.from(await reopened.read('log-1')).toString(), 'abcd!');
+  assert.equal(Buffer.from(await reopened.read('state')).toString(), 'new');
+  await reopened.close();
 });
 
 test('removes what an interrupted replacement has left', async (t) => {
-  const folder = await createFolder(t);
-  await writeFile(join(folder, 'state.tmp'), 'half');
-  const disk = await FileDisk.open(folder);
+  const directory = await createDirectory(t);
+  await writeFile(join(directory, 'state.tmp'), 'half');
+  const disk = await FileDisk.open(directory);
   assert.deepEqual(await disk.list(), []);
   await disk.close();
 });
--- a/packages/consensus/src/lib/FileDisk.ts
+++ b/packages/consensus/src/lib/FileDisk.ts
@@ -4,8 +4,8 @@
 
 const TEMPORARY_SUFFIX = '.tmp';
 
-async function syncFolder(folder: string): Promise<void> {
-  const handle = await open(folder, 'r');
+async function syncDirectory(directory: string): Promise<void> {
+  const handle = await open(directory, 'r');
   try {
     await handle.sync();
   } finally {
@@ -27,36 +27,36 @@
  * @public
  */
 export class FileDisk extends Disk {
-  readonly #folder: string;
+  readonly #directory: string;
 
   /** The file that is appended to, kept open between calls. */
-  #appended: { name: string; handle: FileHandle } | undefined;
+  #openFile: { name: string; handle: FileHandle } | undefined;
 
-  private constructor(folder: string) {
+  private constructor(directory: string) {
     super();
-    this.#folder = folder;
+    this.#directory = directory;
   }
 
   /**
    * Opens a folder, which is created if missing; left-overs of interrupted replacements go.
    * @throws the error of the file system.
    */
-  static async open(folder: string): Promise<FileDisk> {
-    await mkdir(folder, { recursive: true });
-    await syncFolder(join(folder, '..'));
-    const disk = new FileDisk(folder);
-    for (const name of await readdir(folder)) {
-      if (name.endsWith(TEMPORARY_SUFFIX)) await rm(join(folder, name));
+  static async open(directory: string): Promise<FileDisk> {
+    await mkdir(directory, { recursive: true });
+    await syncDirectory(join(directory, '..'));
+    const disk = new FileDisk(directory);
+    for (const name of await readdir(directory)) {
+      if (name.endsWith(TEMPORARY_SUFFIX)) await rm(join(directory, name));
     }
     return disk;
   }
 
   override async list(): Promise<string[]> {
-    return (await readdir(this.#folder)).sort();
+    return (await readdir(this.#directory)).sort();
   }
 
   override async read(name: string): Promise<Uint8Array> {
-    return readFile(join(this.#folder, name));
+    return readFile(join(this.#directory, name));
   }
 
   override async append(name: string, bytes: Uint8Array): Promise<void> {
@@ -66,7 +66,7 @@
   }
 
   override async replace(name: string, bytes: Uint8Array): Promise<void> {
-    const path = join(this.#folder, name);
+    const path = join(this.#directory, name);
     const handle = await open(path + TEMPORARY_SUFFIX, 'w');
     try {
       await writeAll(handle, bytes);
@@ -75,11 +75,11 @@
       await handle.close();
     }
     await rename(path + TEMPORARY_SUFFIX, path);
-    await syncFolder(this.#folder);
+    await syncDirectory(this.#directory);
   }
 
   override async truncate(name: string, length: number): Promise<void> {
-    const handle = await open(join(this.#folder, name), 'r+');
+    const handle = await open(join(this.#directory, name), 'r+');
     try {
       await handle.truncate(length);
       await handle.sync();
@@ -89,22 +89,22 @@
   }
 
   override async remove(name: string): Promise<void> {
-    await rm(join(this.#folder, name), { force: true });
-    await syncFolder(this.#folder);
+    await rm(join(this.#directory, name), { force: true });
+    await syncDirectory(this.#directory);
   }
 
   override async close(): Promise<void> {
-    const appended = this.#appended;
-    this.#appended = undefined;
-    await appended?.handle.close();
+    const openFile = this.#openFile;
+    this.#openFile = undefined;
+    await openFile?.handle.close();
   }
 
   async #openForAppend(name: string): Promise<FileHandle> {
-    if (this.#appended?.name === name) return this.#appended.handle;
+    if (this.#openFile?.name === name) return this.#openFile.handle;
     await this.close();
-    const handle = await open(join(this.#folder, name), 'a');
-    this.#appended = { name, handle };
-    await syncFolder(this.#folder);
+    const handle = await open(join(this.#directory, name), 'a');
+    this.#openFile = { name, handle };
+    await syncDirectory(this.#directory);
     return handle;
   }
 }
--- a/packages/consensus/src/lib/Follower.test.ts
+++ b/packages/consensus/src/lib/Follower.test.ts
@@ -14,7 +14,7 @@
   });
   workload.operate(leader, { type: 'write', value: 1 }).catch(assert.fail);
   await cluster.run(50);
-  const isAnswered = workload.acknowledged.size > 0;
+  const isAcknowledged = workload.acknowledged.size > 0;
   cluster.nodes.forEach((node) => {
     cluster.crash(node);
     node.disk.slownessMs = 0;
@@ -24,14 +24,14 @@
   assert.ok(next);
   await workload.operate(next, { type: 'read' });
   invariants.checkHistory();
-  return { isAnswered, violations: invariants.violations };
+  return { isAcknowledged, violations: invariants.violations };
 }
 
 test('what is not synced is not acknowledged', async () => {
   const safe = await crashBeforeSync({});
-  assert.equal(safe.isAnswered, false);
+  assert.equal(safe.isAcknowledged, false);
   assert.deepEqual([...safe.violations], []);
-  const { isAnswered, violations } = await crashBeforeSync({ acknowledgeUnsynced: true });
-  assert.equal(isAnswered, true);
+  const { isAcknowledged, violations } = await crashBeforeSync({ acknowledgeUnsynced: true });
+  assert.equal(isAcknowledged, true);
   assert.ok(violations.has('the history is not linearizable'));
 });
--- a/packages/consensus/src/lib/Follower.ts
+++ b/packages/consensus/src/lib/Follower.ts
@@ -25,7 +25,7 @@
 
   #stamp = NO_STAMP;
 
-  #acknowledged = 0;
+  #acknowledgedIndex = 0;
 
   constructor(core: Core) {
     this.#core = core;
@@ -33,7 +33,7 @@
 
   onAppend(message: Message<Append>): void {
     const core = this.#core;
-    if (!this.#follow(message)) return;
+    if (!this.#acceptLeader(message)) return;
     if (core.installing) {
       // The log can't be compared now, but the lease is granted all the same.
       const stamp = this.#stamp;
@@ -41,48 +41,48 @@
       return;
     }
     const { prevIndex, prevTerm, entries, commitIndex } = message.body;
-    const known = prevIndex < core.commitIndex ? prevTerm : core.store.term(prevIndex);
-    if (known !== prevTerm) {
-      this.#reply(message.from, false, this.#hint(prevIndex));
+    const localTerm = prevIndex < core.commitIndex ? prevTerm : core.store.term(prevIndex);
+    if (localTerm !== prevTerm) {
+      this.#reply(message.from, false, this.#conflictHint(prevIndex));
       return;
     }
     core.append(this.#newEntries(entries));
-    const last = prevIndex + entries.length;
-    this.#verified.index = Math.max(this.#verified.index, last);
+    const lastIndex = prevIndex + entries.length;
+    this.#verified.index = Math.max(this.#verified.index, lastIndex);
     core.commitTo(Math.min(commitIndex, this.#verified.index));
-    if (entries.length === 0 || core.syncedIndex >= last) this.acknowledge(true);
+    if (entries.length === 0 || core.syncedIndex >= lastIndex) this.acknowledge(true);
   }
 
   onSnapshotChunk(message: Message<SnapshotChunk>): void {
     const core = this.#core;
-    if (!this.#follow(message) || core.installing) return;
+    if (!this.#acceptLeader(message) || core.installing) return;
     const { body, from } = message;
     if (body.index <= core.commitIndex) {
       this.#verified.index = Math.max(this.#verified.index, body.index);
       this.acknowledge(true);
       return;
     }
-    const whole = this.#receiver.add(message.term, body);
-    if (whole) this.#install(whole).catch((error: unknown) => core.failDisk(error));
+    const bytes = this.#receiver.add(message.term, body);
+    if (bytes) this.#installSnapshot(bytes).catch((error: unknown) => core.handleDiskError(error));
     else {
       const { index } = body;
-      const nextOffset = this.#receiver.received;
+      const nextOffset = this.#receiver.receivedBytes;
       core.send(from, { type: 'snapshotReply', index, nextOffset, stamp: this.#stamp });
     }
   }
 
   /** Tells the leader what is synced, if that has grown or an answer is due. */
-  acknowledge(isDue = false): void {
+  acknowledge(isForced = false): void {
     const { leader, term, syncedIndex, installing } = this.#core;
     if (!leader || this.#verified.term !== term || installing) return;
     const match = Math.min(this.#verified.index, syncedIndex);
-    if (!isDue && match <= this.#acknowledged) return;
-    this.#acknowledged = match;
+    if (!isForced && match <= this.#acknowledgedIndex) return;
+    this.#acknowledgedIndex = match;
     this.#reply(leader, true, match);
   }
 
   /** Accepts the sender as leader of the term and grants it a lease; false if it is out of date. */
-  #follow({ from, term, body }: Message<Append | SnapshotChunk>): boolean {
+  #acceptLeader({ from, term, body }: Message<Append | SnapshotChunk>): boolean {
     const core = this.#core;
     if (term < core.term) {
       core.send(from, {
@@ -99,14 +99,14 @@
       return false;
     }
     if (core.role === 'preCandidate' || core.role === 'candidate') {
-      core.sendRole({ type: 'leaderSeen' });
+      core.sendRoleEvent({ type: 'leaderSeen' });
     }
     core.leader = from;
-    core.granted = { term, until: core.now + core.settings.leaseMs };
+    core.grantedLease = { term, expiresAt: core.now + core.settings.leaseMs };
     core.resetElectionDeadline();
     if (this.#verified.term !== term) {
       this.#verified = { term, index: 0 };
-      this.#acknowledged = 0;
+      this.#acknowledgedIndex = 0;
       this.#stamp = NO_STAMP;
     }
     if (body.stamp.mono > this.#stamp.mono) this.#stamp = body.stamp;
@@ -123,7 +123,7 @@
   }
 
   /** An index at which the logs may agree: before the conflicting term, or the end of the log. */
-  #hint(prevIndex: number): number {
+  #conflictHint(prevIndex: number): number {
     const { store, commitIndex } = this.#core;
     if (prevIndex > store.lastIndex) return store.lastIndex;
     const conflicting = store.term(prevIndex);
@@ -138,7 +138,7 @@
     this.#core.send(to, { type: 'appendReply', accepted, match, hint, stamp: this.#stamp });
   }
 
-  async #install(bytes: Uint8Array): Promise<void> {
+  async #installSnapshot(bytes: Uint8Array): Promise<void> {
     const core = this.#core;
     const frame = required(decodeFrame(bytes, 0), 'a whole snapshot');
     const body = migrate('snapshot', frame);
--- a/packages/consensus/src/lib/Joiner.test.ts
+++ b/packages/consensus/src/lib/Joiner.test.ts
@@ -138,8 +138,8 @@
   await cluster.run(100);
   assert.equal(learner.machine.value, 1);
   assert.equal(learner.replica?.status.role, 'learner');
-  const refused = await learner.replica?.propose(new Uint8Array(1));
-  assert.equal(refused?._unsafeUnwrapErr().code.name, 'notLeader');
+  const rejected = await learner.replica?.propose(new Uint8Array(1));
+  assert.equal(rejected?._unsafeUnwrapErr().code.name, 'notLeader');
   // With both other voters down, the learner is no help to a quorum.
   others.forEach((node) => cluster.crash(node));
   await cluster.run(1000);
--- a/packages/consensus/src/lib/Joiner.ts
+++ b/packages/consensus/src/lib/Joiner.ts
@@ -13,9 +13,9 @@
   readonly #core: Core;
 
   /** Seeds that have answered that they belong to no group. */
-  readonly #groupless = new Set<ReplicaName>();
+  readonly #seedsWithoutGroup = new Set<ReplicaName>();
 
-  #askedAt = -Infinity;
+  #lastJoinAt = -Infinity;
 
   constructor(core: Core) {
     this.#core = core;
@@ -25,36 +25,36 @@
   tick(): void {
     const { now, settings, store, identity, membership } = this.#core;
     if (store.state.wasMember || membership.find(identity.incarnation)) return;
-    if (now - this.#askedAt < JOIN_INTERVAL_MS) return;
-    this.#askedAt = now;
-    this.#foundIfAlone();
+    if (now - this.#lastJoinAt < JOIN_INTERVAL_MS) return;
+    this.#lastJoinAt = now;
+    this.#foundGroupIfNone();
     const body: Join = { type: 'join', address: settings.address };
     settings.seeds.forEach((seed) => this.#core.sendByName(seed, body));
   }
 
   /** Answers a replica that asks whether there is a group. */
-  answer({ from }: Message<Join>): void {
+  onJoin({ from }: Message<Join>): void {
     this.#core.send(from, { type: 'joinReply', hasGroup: this.#hasGroup });
   }
 
   onJoinReply({ from, body }: Message<JoinReply>): void {
-    if (body.hasGroup) this.#groupless.delete(from.replica);
-    else this.#groupless.add(from.replica);
-    this.#foundIfAlone();
+    if (body.hasGroup) this.#seedsWithoutGroup.delete(from.replica);
+    else this.#seedsWithoutGroup.add(from.replica);
+    this.#foundGroupIfNone();
   }
 
   get #hasGroup(): boolean {
     return this.#core.membership.latest.members.length > 0;
   }
 
-  #foundIfAlone(): void {
+  #foundGroupIfNone(): void {
     const { settings, store } = this.#core;
     if (!settings.founder || this.#hasGroup || store.lastIndex > 0) return;
-    if (settings.seeds.every((seed) => this.#groupless.has(seed))) this.#found();
+    if (settings.seeds.every((seed) => this.#seedsWithoutGroup.has(seed))) this.#foundGroup();
   }
 
   /** Begins a log whose first entry makes this replica the only voter. */
-  #found(): void {
+  #foundGroup(): void {
     const core = this.#core;
     const { settings, identity } = core;
     const { replica, incarnation } = identity;
@@ -66,6 +66,6 @@
     core.saveTerm(core.term + 1, incarnation);
     core.append([{ index: 1, term: core.term, kind: EntryKind.Membership, data }]);
     settings.journal.record(consensusEvents.groupFounded, { group: core.group });
-    core.sendRole({ type: 'electionTimeout' });
+    core.sendRoleEvent({ type: 'electionTimeout' });
   }
 }
--- a/packages/consensus/src/lib/Leader.test.ts
+++ b/packages/consensus/src/lib/Leader.test.ts
@@ -13,7 +13,7 @@
  * The schedule of figure 8 of the Raft paper with three replicas: entries of an old term reach a
  * majority under a later leader, and a third leader replaces them.
  */
-async function replaceOldEntries(seed: number, unsafe: UnsafeDeviations) {
+async function replaceOldTermEntries(seed: number, unsafe: UnsafeDeviations) {
   const { cluster, leader, others, invariants } = await createGroup({
     seed,
     unsafe,
@@ -26,12 +26,12 @@
   const propose = (node: typeof leader, id: number): void => {
     node.replica?.propose(command(id)).catch(assert.fail);
   };
-  const isStanding = ({ body, from }: Message): boolean =>
+  const isVoterPreVote = ({ body, from }: Message): boolean =>
     body.type === 'preVote' && from.replica === voter.name;
   network.filter = (message) => {
     const { body } = message;
     if (body.type === 'append') return body.entries.every(({ term }) => term <= oldTerm);
-    return !isStanding(message);
+    return !isVoterPreVote(message);
   };
   network.partition([leader.name], [voter.name, rival.name]);
   propose(leader, 1);
@@ -42,11 +42,11 @@
   await cluster.run(10);
   network.heal();
   network.partition([rival.name], [leader.name, voter.name]);
-  const isElectedAgain = (): boolean => leader.replica?.status.role === 'leader';
-  assert.ok(await cluster.runUntil(isElectedAgain, 4000));
+  const isReelected = (): boolean => leader.replica?.status.role === 'leader';
+  assert.ok(await cluster.runUntil(isReelected, 4000));
   await cluster.run(60);
   network.heal();
-  network.filter = (message) => !isStanding(message);
+  network.filter = (message) => !isVoterPreVote(message);
   network.partition([leader.name], [voter.name, rival.name]);
   assert.ok(await cluster.runUntil(isRivalElected, 4000));
   await cluster.run(100);
@@ -54,9 +54,9 @@
 }
 
 test('entries of an older term are committed only with one of the own term', async () => {
-  assert.deepEqual([...(await replaceOldEntries(1, {}))], []);
-  const found = await replaceOldEntries(1, { commitOlderTerms: true });
-  assert.ok(found.has('replicas applied different commands at one index'));
+  assert.deepEqual([...(await replaceOldTermEntries(1, {}))], []);
+  const violations = await replaceOldTermEntries(1, { commitOlderTerms: true });
+  assert.ok(violations.has('replicas applied different commands at one index'));
 });
 
 test('proposals beyond the bounds are refused as not run', async () => {
@@ -69,9 +69,9 @@
   const large = await leader.replica?.propose(new Uint8Array(101));
   assert.equal(large?._unsafeUnwrapErr().code.name, 'commandTooLarge');
   for (let id = 1; id <= 3; id += 1) leader.replica?.propose(command(id)).catch(assert.fail);
-  const refused = await leader.replica?.propose(command(4));
-  assert.equal(refused?._unsafeUnwrapErr().code.name, 'queueFull');
-  assert.equal(refused?._unsafeUnwrapErr().notRun, true);
+  const rejected = await leader.replica?.propose(command(4));
+  assert.equal(rejected?._unsafeUnwrapErr().code.name, 'queueFull');
+  assert.equal(rejected?._unsafeUnwrapErr().notRun, true);
 });
 
 test('leadership is handed over without waiting for the lease', async () => {
@@ -94,23 +94,27 @@
   const [other] = others;
   const status = leader.replica?.status;
   assert.ok(other?.replica && status);
-  let answer: Message | undefined;
+  let reply: Message | undefined;
   cluster.network.filter = (message) => {
-    if (message.body.type === 'appendReply') answer = message;
+    if (message.body.type === 'appendReply') reply = message;
     return true;
   };
   await cluster.run(50);
-  assert.ok(answer?.body.type === 'appendReply');
-  const newer = status.term + 1;
-  const refusal = { ...answer, term: newer, body: { ...answer.body, accepted: false, hint: 1 } };
+  assert.ok(reply?.body.type === 'appendReply');
+  const newerTerm = status.term + 1;
+  const rejection = {
+    ...reply,
+    term: newerTerm,
+    body: { ...reply.body, accepted: false, hint: 1 },
+  };
   const sent: Message[] = [];
   cluster.network.filter = (message) => {
-    if (message.term === newer && message.body.type === 'append') sent.push(message);
+    if (message.term === newerTerm && message.body.type === 'append') sent.push(message);
     return message.body.type !== 'append';
   };
   leader.replica?.propose(command(1)).catch(assert.fail);
   await cluster.run(10);
-  cluster.network.send(other.name, leader.name, refusal);
+  cluster.network.send(other.name, leader.name, rejection);
   await cluster.run(10);
   assert.equal(leader.replica?.status.role, 'follower');
   assert.deepEqual(sent, []);
--- a/packages/consensus/src/lib/Leader.ts
+++ b/packages/consensus/src/lib/Leader.ts
@@ -13,7 +13,7 @@
 import type { Applied } from './ReplicatedLog';
 import { Replicator } from './Replicator';
 
-const EMPTY = new Uint8Array();
+const NO_DATA = new Uint8Array();
 
 /** Leadership of one term: takes proposals, commits them, and holds the lease. @internal */
 export class Leader implements Disposable {
@@ -26,16 +26,16 @@
   readonly #proposals: Proposals;
 
   /** Time until which an earlier leader may hold its lease. */
-  readonly #waitsUntil: number;
+  readonly #earlierLeaseUntil: number;
 
   readonly #startedAt: number;
 
   /** Index of the entry that this leader appended on its election. */
   readonly #firstIndex: number;
 
-  #heartbeatAt = -Infinity;
+  #lastHeartbeatAt = -Infinity;
 
-  #isRefusing = false;
+  #isRejecting = false;
 
   constructor(core: Core, proposals: Proposals, leaseRemainingMs: number) {
     const { timer, leaseMs, clockRateBound, unsafe } = core.settings;
@@ -43,7 +43,7 @@
     this.#proposals = proposals;
     this.#startedAt = core.now;
     const waitMs = unsafe.skipLeaseWait ? 0 : leaseRemainingMs * (1 + clockRateBound);
-    this.#waitsUntil = this.#startedAt + waitMs;
+    this.#earlierLeaseUntil = this.#startedAt + waitMs;
     this.lease = new LeaderLease(timer, leaseMs, clockRateBound, unsafe.ignoreWallClock);
     this.replicator = new Replicator(core);
     this.#firstIndex = core.store.lastIndex + 1;
@@ -51,7 +51,7 @@
 
   /** Appends the first entry of the term and sends heartbeats. */
   start(): void {
-    this.append(EntryKind.Noop, EMPTY);
+    this.append(EntryKind.Noop, NO_DATA);
     this.tick();
   }
 
@@ -61,7 +61,7 @@
   }
 
   get holdsLease(): boolean {
-    return this.isEstablished && this.#core.now >= this.#waitsUntil && this.lease.isHeld;
+    return this.isEstablished && this.#core.now >= this.#earlierLeaseUntil && this.lease.isHeld;
   }
 
   /** Takes a command into the log; the result tells whether it was applied. */
@@ -71,7 +71,7 @@
       const message = `command of ${command.byteLength} bytes, at most ${maxCommandBytes}`;
       return Promise.resolve(fail(consensusCodes.commandTooLarge, message));
     }
-    if (this.#isRefusing) {
+    if (this.#isRejecting) {
       return Promise.resolve(fail(consensusCodes.transferring, 'leadership is handed over'));
     }
     if (!this.#proposals.hasRoomFor(command.byteLength)) {
@@ -94,8 +94,8 @@
   }
 
   /** Refuses proposals from now on, or takes them again. */
-  refuse(isRefusing: boolean): void {
-    this.#isRefusing = isRefusing;
+  setRejecting(isRejecting: boolean): void {
+    this.#isRejecting = isRejecting;
   }
 
   progress(incarnation: Incarnation): Progress | undefined {
@@ -105,43 +105,43 @@
   onAppendReply({ from, body }: Message<AppendReply>): void {
     const progress = this.progress(from.incarnation);
     if (!progress) return;
-    this.#heard(progress, body.stamp);
+    this.#recordStamp(progress, body.stamp);
     if (body.accepted) {
-      progress.accepted(body.match);
-      this.advance();
-    } else progress.refused(body.hint);
+      progress.recordAccepted(body.match);
+      this.advanceCommit();
+    } else progress.recordRejected(body.hint);
     this.replicator.sendTo(progress);
   }
 
   onSnapshotReply({ from, body }: Message<SnapshotReply>): void {
     const progress = this.progress(from.incarnation);
     if (!progress) return;
-    this.#heard(progress, body.stamp);
+    this.#recordStamp(progress, body.stamp);
     this.replicator.continueSnapshot(progress, body);
   }
 
   /** Sends heartbeats in time, and steps down when a quorum has not been heard for too long. */
   tick(): void {
     const { now, settings } = this.#core;
-    if (now - this.#heartbeatAt >= settings.heartbeatMs) {
-      this.#heartbeatAt = now;
+    if (now - this.#lastHeartbeatAt >= settings.heartbeatMs) {
+      this.#lastHeartbeatAt = now;
       this.replicator.heartbeat();
       this.#renewLease();
     }
-    const heardAt = Math.max(this.#quorumStamp.mono, this.#startedAt);
-    if (now - heardAt > settings.electionTimeoutMs) {
+    const quorumContactAt = Math.max(this.#quorumStamp.mono, this.#startedAt);
+    if (now - quorumContactAt > settings.electionTimeoutMs) {
       settings.journal.record(consensusEvents.quorumLost, { term: this.#core.term });
-      this.#core.sendRole({ type: 'quorumLost' });
+      this.#core.sendRoleEvent({ type: 'quorumLost' });
       return;
     }
-    this.advance();
+    this.advanceCommit();
   }
 
   /** Commits what a quorum has synced. */
-  advance(): void {
+  advanceCommit(): void {
     const core = this.#core;
-    if (core.now < this.#waitsUntil) return;
-    const index = quorumValue(core.quorums, (incarnation) => this.#matchOf(incarnation));
+    if (core.now < this.#earlierLeaseUntil) return;
+    const index = quorumValue(core.voterSets, (incarnation) => this.#matchOf(incarnation));
     if (index <= core.commitIndex) return;
     const isOwnTerm = core.store.term(index) === core.term;
     if (!isOwnTerm && !core.settings.unsafe.commitOlderTerms) return;
@@ -157,15 +157,15 @@
 
   [Symbol.dispose](): void {
     // As a voter, this replica has granted the lease to itself.
-    const { term, granted } = this.#core;
-    const until = Math.max(granted.until, this.lease.endsAt);
-    this.#core.granted = { term, until };
+    const { term, grantedLease } = this.#core;
+    const expiresAt = Math.max(grantedLease.expiresAt, this.lease.endsAt);
+    this.#core.grantedLease = { term, expiresAt };
     this.replicator[Symbol.dispose]();
-    this.#proposals.abandon();
+    this.#proposals.failAll();
   }
 
-  #heard(progress: Progress, stamp: LeaseStamp): void {
-    progress.heard(stamp);
+  #recordStamp(progress: Progress, stamp: LeaseStamp): void {
+    progress.recordStamp(stamp);
     this.#renewLease();
   }
 
@@ -175,14 +175,14 @@
 
   /** Latest stamp that a quorum has echoed; this replica itself counts as of now. */
   get #quorumStamp(): LeaseStamp {
-    const { quorums, settings, identity } = this.#core;
+    const { voterSets, settings, identity } = this.#core;
     const own = { mono: settings.timer.now(), wall: settings.timer.wall() };
     const none = { mono: -Infinity, wall: -Infinity };
     const stampOf = (incarnation: Incarnation): LeaseStamp =>
       incarnation === identity.incarnation ? own : (this.progress(incarnation)?.stamp ?? none);
     return {
-      mono: quorumValue(quorums, (incarnation) => stampOf(incarnation).mono),
-      wall: quorumValue(quorums, (incarnation) => stampOf(incarnation).wall),
+      mono: quorumValue(voterSets, (incarnation) => stampOf(incarnation).mono),
+      wall: quorumValue(voterSets, (incarnation) => stampOf(incarnation).wall),
     };
   }
 
--- a/packages/consensus/src/lib/LeaderLease.test.ts
+++ b/packages/consensus/src/lib/LeaderLease.test.ts
@@ -4,8 +4,8 @@
 import type { UnsafeDeviations } from './ReplicaOptions';
 
 const LEASE_MS = 120;
-const SEEDS = 12;
-const STALE = 'the history is not linearizable';
+const SEED_COUNT = 12;
+const NOT_LINEARIZABLE = 'the history is not linearizable';
 const TWO_LEASES = 'two replicas hold the lease';
 
 /**
@@ -36,9 +36,9 @@
 }
 
 /** Violations over a few fixed seeds. */
-async function deposeOften(unsafe: UnsafeDeviations, restartsVoter: boolean) {
+async function deposeOverSeeds(unsafe: UnsafeDeviations, restartsVoter: boolean) {
   const found = new Set<string>();
-  for (let seed = 1; seed <= SEEDS; seed += 1) {
+  for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
     const violations = await deposeUnderLease(seed, unsafe, restartsVoter);
     violations.forEach((violation) => found.add(violation));
   }
@@ -46,15 +46,15 @@
 }
 
 test('a voter that granted a lease votes for nobody until it has run out', async () => {
-  assert.deepEqual([...(await deposeOften({}, false))], []);
-  const found = await deposeOften({ ignoreGrantedLease: true }, false);
-  assert.ok(found.has(TWO_LEASES) && found.has(STALE));
+  assert.deepEqual([...(await deposeOverSeeds({}, false))], []);
+  const found = await deposeOverSeeds({ ignoreGrantedLease: true }, false);
+  assert.ok(found.has(TWO_LEASES) && found.has(NOT_LINEARIZABLE));
 });
 
 test('a new leader waits out a lease that a restarted voter may have granted', async () => {
-  assert.deepEqual([...(await deposeOften({}, true))], []);
-  const found = await deposeOften({ skipLeaseWait: true }, true);
-  assert.ok(found.has(TWO_LEASES) && found.has(STALE));
+  assert.deepEqual([...(await deposeOverSeeds({}, true))], []);
+  const found = await deposeOverSeeds({ skipLeaseWait: true }, true);
+  assert.ok(found.has(TWO_LEASES) && found.has(NOT_LINEARIZABLE));
 });
 
 /** The leader's machine is suspended, so that its monotonic clock stands still. */
@@ -99,6 +99,6 @@
   await cluster.run(400);
   assert.equal(notRun, 'unknown');
   assert.notEqual(leader.replica?.status.role, 'leader');
-  const refused = await leader.replica?.propose(new Uint8Array(1));
-  assert.equal(refused?._unsafeUnwrapErr().notRun, true);
+  const rejected = await leader.replica?.propose(new Uint8Array(1));
+  assert.equal(rejected?._unsafeUnwrapErr().notRun, true);
 });
--- a/packages/consensus/src/lib/LeaderLease.ts
+++ b/packages/consensus/src/lib/LeaderLease.ts
@@ -13,17 +13,17 @@
 
   readonly #durationMs: number;
 
-  readonly #ignoresWall: boolean;
+  readonly #ignoresWallClock: boolean;
 
   /** Both clocks at the latest stamp that a quorum has echoed. */
   #start: LeaseStamp = { mono: -Infinity, wall: -Infinity };
 
   #isAbandoned = false;
 
-  constructor(timer: Timer, leaseMs: number, clockRateBound: number, ignoresWall = false) {
+  constructor(timer: Timer, leaseMs: number, clockRateBound: number, ignoresWallClock = false) {
     this.#timer = timer;
     this.#durationMs = leaseMs / (1 + clockRateBound);
-    this.#ignoresWall = ignoresWall;
+    this.#ignoresWallClock = ignoresWallClock;
   }
 
   renew(start: LeaseStamp): void {
@@ -48,6 +48,6 @@
   get isHeld(): boolean {
     if (this.#timer.now() >= this.endsAt) return false;
     const wallAge = this.#timer.wall() - this.#start.wall;
-    return this.#ignoresWall || wallAge < this.#durationMs;
+    return this.#ignoresWallClock || wallAge < this.#durationMs;
   }
 }
--- a/packages/consensus/src/lib/LeadershipTransfer.ts
+++ b/packages/consensus/src/lib/LeadershipTransfer.ts
@@ -18,14 +18,14 @@
 
   readonly #successor: Incarnation;
 
-  #isTold = false;
+  #hasSentTimeoutNow = false;
 
   constructor(core: Core, leader: Leader, successor: Incarnation) {
     this.#core = core;
     this.#leader = leader;
     this.#successor = successor;
     this.#deadline = core.now + core.settings.electionTimeoutMs;
-    leader.refuse(true);
+    leader.setRejecting(true);
     core.settings.journal.record(consensusEvents.transferStarted, { successor });
   }
 
@@ -33,20 +33,20 @@
   tick(): boolean {
     const { now, store } = this.#core;
     if (now >= this.#deadline) {
-      this.#giveUp();
+      this.#abort();
       return false;
     }
     const progress = this.#leader.progress(this.#successor);
-    if (!this.#isTold && progress && progress.match === store.lastIndex) {
-      this.#isTold = true;
+    if (!this.#hasSentTimeoutNow && progress && progress.match === store.lastIndex) {
+      this.#hasSentTimeoutNow = true;
       this.#leader.lease.abandon();
       this.#core.send(progress.identity, { type: 'timeoutNow' });
     }
     return true;
   }
 
-  #giveUp(): void {
-    if (this.#isTold) this.#core.sendRole({ type: 'quorumLost' });
-    else this.#leader.refuse(false);
+  #abort(): void {
+    if (this.#hasSentTimeoutNow) this.#core.sendRoleEvent({ type: 'quorumLost' });
+    else this.#leader.setRejecting(false);
   }
 }
--- a/packages/consensus/src/lib/LogStore.test.ts
+++ b/packages/consensus/src/lib/LogStore.test.ts
@@ -26,14 +26,14 @@
 function createDisk(seed = 1) {
   const timer = new VirtualTimer();
   const disk = new SimulatedDisk(timer, new Random(seed));
-  const pass = async (): Promise<void> => {
+  const runTimers = async (): Promise<void> => {
     await drain();
     while (timer.nextAt !== undefined) {
       timer.advance(timer.nextAt - timer.now());
       await drain();
     }
   };
-  return { disk, timer, pass };
+  return { disk, timer, runTimers };
 }
 
 async function open(disk: SimulatedDisk): Promise<LogStore> {
@@ -42,7 +42,7 @@
 
 test('entries that were synced are there after a crash at any time', async () => {
   const property = fc.asyncProperty(fc.integer(), fc.nat(60), async (seed, crashMs) => {
-    const { disk, timer, pass } = createDisk(seed);
+    const { disk, timer, runTimers } = createDisk(seed);
     const random = new Random(seed);
     const store = await open(disk);
     for (let index = 1; timer.now() < crashMs; index += 2) {
@@ -54,7 +54,7 @@
     const synced = store.syncedIndex;
     disk.crash();
     const recovering = recover(disk);
-    await pass();
+    await runTimers();
     const { entries } = (await recovering)._unsafeUnwrap();
     assert.ok(entries.length >= synced);
     assert.deepEqual(entries, createEntries(1, entries.length, 1));
@@ -63,34 +63,34 @@
 });
 
 test('a log that is cut at any byte keeps its whole frames', async () => {
-  const { disk, pass } = createDisk();
+  const { disk, runTimers } = createDisk();
   const store = await open(disk);
   for (let index = 1; index <= 4; index += 1) {
     store.append(createEntries(index, index, 1));
-    await pass();
+    await runTimers();
   }
   const [name = ''] = (await disk.list()).slice(-1);
-  const whole = await disk.read(name);
-  for (let length = whole.byteLength; length >= 0; length -= 7) {
-    const cut = createDisk();
-    const writing = cut.disk.replace(name, whole.subarray(0, length));
-    await cut.pass();
+  const original = await disk.read(name);
+  for (let length = original.byteLength; length >= 0; length -= 7) {
+    const truncated = createDisk();
+    const writing = truncated.disk.replace(name, original.subarray(0, length));
+    await truncated.runTimers();
     await writing;
-    const recovering = recover(cut.disk);
-    await cut.pass();
-    const { entries, cutBytes } = (await recovering)._unsafeUnwrap();
+    const recovering = recover(truncated.disk);
+    await truncated.runTimers();
+    const { entries, truncatedBytes } = (await recovering)._unsafeUnwrap();
     assert.deepEqual(entries, createEntries(1, entries.length, 1));
-    assert.equal((await cut.disk.read(name)).byteLength, length - cutBytes);
+    assert.equal((await truncated.disk.read(name)).byteLength, length - truncatedBytes);
   }
 });
 
 test('a flipped bit in a part that was synced before others is refused', async () => {
   const property = fc.asyncProperty(fc.integer(), async (seed) => {
-    const { disk, pass } = createDisk(seed);
+    const { disk, runTimers } = createDisk(seed);
     const store = await open(disk);
     for (let index = 1; index <= 9; index += 1) {
       store.append(createEntries(index, index, 1));
-      await pass();
+      await runTimers();
     }
     assert.ok(disk.flip());
     const recovered = await recover(disk);
@@ -100,30 +100,30 @@
 });
 
 test('entries of a newer term replace the old ones also after a restart', async () => {
-  const { disk, pass } = createDisk();
+  const { disk, runTimers } = createDisk();
   const store = await open(disk);
   store.append(createEntries(1, 9, 1));
-  await pass();
+  await runTimers();
   store.append(createEntries(4, 5, 2));
   assert.equal(store.syncedIndex, 3);
-  await pass();
+  await runTimers();
   assert.equal(store.syncedIndex, 5);
   const { entries } = (await recover(disk))._unsafeUnwrap();
   assert.deepEqual(entries, [...createEntries(1, 3, 1), ...createEntries(4, 5, 2)]);
 });
 
 test('a snapshot removes what it stands for and keeps a few entries in memory', async () => {
-  const { disk, pass } = createDisk();
+  const { disk, runTimers } = createDisk();
   const store = await open(disk);
   for (let index = 1; index <= 40; index += 1) {
     store.append(createEntries(index, index, 1));
-    await pass();
+    await runTimers();
   }
-  const before = (await disk.list()).length;
+  const fileCountBefore = (await disk.list()).length;
   const state = Buffer.from('state');
   store.compact({ index: 38, term: 1, membership: NO_MEMBERS, state }).catch(assert.fail);
-  await pass();
-  assert.ok((await disk.list()).length < before);
+  await runTimers();
+  assert.ok((await disk.list()).length < fileCountBefore);
   assert.equal(store.firstIndex, 37);
   const { entries, snapshot } = (await recover(disk))._unsafeUnwrap();
   assert.deepEqual(entries, createEntries(39, 40, 1));
@@ -131,19 +131,19 @@
 });
 
 test('an installed snapshot starts the log over, also across restarts', async () => {
-  const { disk, pass } = createDisk();
+  const { disk, runTimers } = createDisk();
   const store = await open(disk);
   store.append(createEntries(1, 30, 1));
-  await pass();
+  await runTimers();
   const state = Buffer.from('state');
   store.install({ index: 20, term: 2, membership: NO_MEMBERS, state }).catch(assert.fail);
-  await pass();
+  await runTimers();
   const opening = open(disk);
-  await pass();
-  const again = await opening;
-  assert.equal(again.lastIndex, 20);
-  again.append(createEntries(21, 22, 2));
-  await pass();
+  await runTimers();
+  const reopened = await opening;
+  assert.equal(reopened.lastIndex, 20);
+  reopened.append(createEntries(21, 22, 2));
+  await runTimers();
   const { entries } = (await recover(disk))._unsafeUnwrap();
   assert.deepEqual(entries, createEntries(21, 22, 2));
 });
--- a/packages/consensus/src/lib/LogStore.ts
+++ b/packages/consensus/src/lib/LogStore.ts
@@ -36,7 +36,7 @@
   onSynced: () => void = () => {};
 
   /** Called when a batch of entries is about to be written. */
-  onWriting: () => void = () => {};
+  onBeforeWrite: () => void = () => {};
 
   /** Called once when the disk has failed. */
   onFailure: (failure: Failure) => void = () => {};
@@ -51,7 +51,7 @@
   #entries: Entry[];
 
   /** Index and term of the entry before the first one in memory. */
-  #base: { index: number; term: number };
+  #compactionPoint: { index: number; term: number };
 
   #snapshot: { index: number; term: number };
 
@@ -61,49 +61,49 @@
   #firstSegment: number;
 
   /** Number of the segment that is being written. */
-  #writtenSegment = 0;
+  #activeSegment = 0;
 
   #state: HardState;
 
-  #queue: Entry[] = [];
+  #writeQueue: Entry[] = [];
 
-  #writing = false;
+  #isWriting = false;
 
-  #synced: number;
+  #syncedIndex: number;
 
-  #failed = false;
+  #isFailed = false;
 
-  readonly #running = new Set<Promise<void>>();
+  readonly #pendingOperations = new Set<Promise<void>>();
 
   constructor(disk: Disk, recovered: Recovered, limits: LogStoreLimits) {
     this.#disk = disk;
     this.#limits = limits;
     this.#entries = [...recovered.entries];
     const { index, term } = recovered.snapshot ?? { index: 0, term: 0 };
-    this.#base = { index, term };
+    this.#compactionPoint = { index, term };
     this.#snapshot = { index, term };
     this.#segments = [...recovered.segments];
     this.#firstSegment = recovered.snapshot?.firstSegment ?? 0;
     this.#state = recovered.state;
-    this.#synced = this.lastIndex;
+    this.#syncedIndex = this.lastIndex;
   }
 
   /** Index of the first entry in memory. */
   get firstIndex(): number {
-    return this.#base.index + 1;
+    return this.#compactionPoint.index + 1;
   }
 
   get lastIndex(): number {
-    return this.#base.index + this.#entries.length;
+    return this.#compactionPoint.index + this.#entries.length;
   }
 
   get lastTerm(): number {
-    return this.#entries.at(-1)?.term ?? this.#base.term;
+    return this.#entries.at(-1)?.term ?? this.#compactionPoint.term;
   }
 
   /** Index up to which the log is durable. */
   get syncedIndex(): number {
-    return this.#synced;
+    return this.#syncedIndex;
   }
 
   get snapshotIndex(): number {
@@ -116,7 +116,7 @@
 
   /** Term of an entry; undefined if the log does not hold it. */
   term(index: number): number | undefined {
-    if (index === this.#base.index) return this.#base.term;
+    if (index === this.#compactionPoint.index) return this.#compactionPoint.term;
     return this.entry(index)?.term;
   }
 
@@ -126,14 +126,14 @@
 
   /** Entries from an index on, at least one if there is any, up to a size in bytes. */
   slice(from: number, maxBytes: number): Entry[] {
-    const found: Entry[] = [];
+    const entries: Entry[] = [];
     let bytes = 0;
     for (let entry = this.entry(from); entry; entry = this.entry(entry.index + 1)) {
       bytes += entryBytes(entry);
-      if (found.length > 0 && bytes > maxBytes) break;
-      found.push(entry);
+      if (entries.length > 0 && bytes > maxBytes) break;
+      entries.push(entry);
     }
-    return found;
+    return entries;
   }
 
   /** Adds entries and replaces those from the first one's index on; writing follows. */
@@ -142,15 +142,15 @@
     if (!first) return;
     assert(first.index >= this.firstIndex, 'an entry before the compaction point');
     assert(first.index <= this.lastIndex + 1, 'a gap in the log');
-    if (first.index <= this.lastIndex) this.#dropFrom(first.index);
+    if (first.index <= this.lastIndex) this.#truncateFrom(first.index);
     for (const entry of entries) {
       this.#entries.push(entry);
-      this.#queue.push(entry);
+      this.#writeQueue.push(entry);
     }
-    if (this.#writing) return;
-    this.#writing = true;
+    if (this.#isWriting) return;
+    this.#isWriting = true;
     queueMicrotask(() => {
-      this.#writeAll().catch((error: unknown) => this.#fail(error));
+      this.#writeQueued().catch((error: unknown) => this.#handleDiskError(error));
     });
   }
 
@@ -162,15 +162,15 @@
   /** Makes the present term, vote and group durable. */
   async saveState(): Promise<void> {
     const frame = encodeFrame(RECORD_VERSION, encodeJson(this.#state));
-    await this.#guard(() => this.#disk.replace(STATE_FILE, frame));
+    await this.#runDiskOperation(() => this.#disk.replace(STATE_FILE, frame));
   }
 
   /** Makes a snapshot of the own state durable and compacts the log before it. */
   async compact(snapshot: Omit<Snapshot, 'firstSegment'>): Promise<void> {
-    assert(snapshot.index <= this.#synced, 'a snapshot of entries that are not synced');
+    assert(snapshot.index <= this.#syncedIndex, 'a snapshot of entries that are not synced');
     await this.#saveSnapshot({ ...snapshot, firstSegment: this.#firstSegment });
-    this.#forget(snapshot.index - this.#limits.trailingEntries);
-    await this.#guard(() => this.#removeObsolete());
+    this.#dropThrough(snapshot.index - this.#limits.trailingEntries);
+    await this.#runDiskOperation(() => this.#removeObsolete());
   }
 
   /**
@@ -179,18 +179,18 @@
    */
   async install(snapshot: Omit<Snapshot, 'firstSegment'>): Promise<void> {
     const { index, term } = snapshot;
-    if (this.#synced >= index && this.term(index) === term) {
+    if (this.#syncedIndex >= index && this.term(index) === term) {
       await this.compact(snapshot);
       return;
     }
-    this.#queue = [];
+    this.#writeQueue = [];
     const { number } = this.#beginSegment();
     await this.#saveSnapshot({ ...snapshot, firstSegment: number });
     this.#firstSegment = number;
     this.#entries = [];
-    this.#base = { index, term };
-    this.#synced = index;
-    await this.#guard(() => this.#removeObsolete());
+    this.#compactionPoint = { index, term };
+    this.#syncedIndex = index;
+    await this.#runDiskOperation(() => this.#removeObsolete());
   }
 
   /** Reads the latest snapshot; undefined when there is none. */
@@ -215,55 +215,55 @@
    * written.
    */
   async close(): Promise<void> {
-    this.#failed = true;
-    this.#queue = [];
-    while (this.#running.size > 0) await Promise.allSettled(this.#running);
+    this.#isFailed = true;
+    this.#writeQueue = [];
+    while (this.#pendingOperations.size > 0) await Promise.allSettled(this.#pendingOperations);
     await this.#disk.close();
   }
 
-  #dropFrom(index: number): void {
+  #truncateFrom(index: number): void {
     this.#entries.length = index - this.firstIndex;
-    this.#queue = this.#queue.filter((entry) => entry.index < index);
-    this.#synced = Math.min(this.#synced, index - 1);
+    this.#writeQueue = this.#writeQueue.filter((entry) => entry.index < index);
+    this.#syncedIndex = Math.min(this.#syncedIndex, index - 1);
   }
 
   async #saveSnapshot(snapshot: Snapshot): Promise<void> {
     const frame = encodeFrame(RECORD_VERSION, encodeSnapshot(snapshot));
-    await this.#guard(() => this.#disk.replace(snapshotName(snapshot.index), frame));
+    await this.#runDiskOperation(() => this.#disk.replace(snapshotName(snapshot.index), frame));
     this.#snapshot = { index: snapshot.index, term: snapshot.term };
   }
 
   /** Forgets entries in memory up to an index. */
-  #forget(index: number): void {
+  #dropThrough(index: number): void {
     const term = this.term(index);
-    if (index <= this.#base.index || term === undefined) return;
-    this.#entries = this.#entries.slice(index - this.#base.index);
-    this.#base = { index, term };
+    if (index <= this.#compactionPoint.index || term === undefined) return;
+    this.#entries = this.#entries.slice(index - this.#compactionPoint.index);
+    this.#compactionPoint = { index, term };
   }
 
-  async #writeAll(): Promise<void> {
-    while (this.#queue.length > 0 && !this.#failed) {
-      this.onWriting();
-      const batch = this.#takeBatch();
+  async #writeQueued(): Promise<void> {
+    while (this.#writeQueue.length > 0 && !this.#isFailed) {
+      this.onBeforeWrite();
+      const batch = this.#dequeueBatch();
       const segment = this.#openSegment();
-      this.#writtenSegment = segment.number;
+      this.#activeSegment = segment.number;
       const frame = encodeFrame(RECORD_VERSION, encodeEntries(batch));
       segment.bytes += frame.byteLength;
       segment.lastIndex = Math.max(segment.lastIndex, (batch.at(-1) as Entry).index);
-      await this.#guard(() => this.#disk.append(segmentName(segment.number), frame));
+      await this.#runDiskOperation(() => this.#disk.append(segmentName(segment.number), frame));
       this.syncs += 1;
       this.#markSynced(batch);
     }
-    this.#writing = false;
+    this.#isWriting = false;
   }
 
-  #takeBatch(): Entry[] {
+  #dequeueBatch(): Entry[] {
     let bytes = 0;
-    const over = this.#queue.findIndex((entry, position) => {
+    const end = this.#writeQueue.findIndex((entry, position) => {
       bytes += entryBytes(entry);
       return position > 0 && bytes > this.#limits.syncBytes;
     });
-    return this.#queue.splice(0, over < 0 ? this.#queue.length : over);
+    return this.#writeQueue.splice(0, end < 0 ? this.#writeQueue.length : end);
   }
 
   #openSegment(): Segment {
@@ -282,14 +282,14 @@
   /** Counts the entries of a written batch that have not been replaced meanwhile. */
   #markSynced(batch: readonly Entry[]): void {
     const last = batch.findLast((entry) => this.entry(entry.index) === entry);
-    if (last && last.index > this.#synced) this.#synced = last.index;
+    if (last && last.index > this.#syncedIndex) this.#syncedIndex = last.index;
     this.onSynced();
   }
 
   /** Removes segments and snapshots that the latest snapshot makes obsolete. */
   async #removeObsolete(): Promise<void> {
-    while (this.#segments.length > 1 && this.#mayRemove(this.#segments[0] as Segment)) {
-      if (this.#failed) return;
+    while (this.#segments.length > 1 && this.#isObsolete(this.#segments[0] as Segment)) {
+      if (this.#isFailed) return;
       const segment = this.#segments.shift() as Segment;
       await this.#disk.remove(segmentName(segment.number));
     }
@@ -298,29 +298,29 @@
     for (const index of obsolete) await this.#disk.remove(snapshotName(index));
   }
 
-  #mayRemove(segment: Segment): boolean {
-    if (segment.number === this.#writtenSegment) return false;
-    return segment.number < this.#firstSegment || segment.lastIndex <= this.#base.index;
+  #isObsolete(segment: Segment): boolean {
+    if (segment.number === this.#activeSegment) return false;
+    return segment.number < this.#firstSegment || segment.lastIndex <= this.#compactionPoint.index;
   }
 
   /** Runs an operation of the disk, unless the store has failed or was closed. */
-  async #guard(action: () => Promise<void>): Promise<void> {
-    if (this.#failed) throw new Error('the store is closed');
-    const running = action();
-    this.#running.add(running);
+  async #runDiskOperation(action: () => Promise<void>): Promise<void> {
+    if (this.#isFailed) throw new Error('the store is closed');
+    const operation = action();
+    this.#pendingOperations.add(operation);
     try {
-      await running;
+      await operation;
     } catch (error) {
-      this.#fail(error);
+      this.#handleDiskError(error);
       throw error;
     } finally {
-      this.#running.delete(running);
+      this.#pendingOperations.delete(operation);
     }
   }
 
-  #fail(error: unknown): void {
-    if (this.#failed) return;
-    this.#failed = true;
+  #handleDiskError(error: unknown): void {
+    if (this.#isFailed) return;
+    this.#isFailed = true;
     const message = `the disk failed: ${String(error)}`;
     this.onFailure(new Failure(consensusCodes.diskFailed, message, { cause: error }));
   }
--- a/packages/consensus/src/lib/Membership.test.ts
+++ b/packages/consensus/src/lib/Membership.test.ts
@@ -8,7 +8,7 @@
   decodeMembership,
   encodeMembership,
   majority,
-  quorumSets,
+  voterSets,
   quorumValue,
   reportedMembership,
   voters,
@@ -23,14 +23,14 @@
 
 function subsets(items: readonly Incarnation[]): Incarnation[][] {
   return items.reduce<Incarnation[][]>(
-    (found, item) => [...found, ...found.map((subset) => [...subset, item])],
+    (subsetsSoFar, item) => [...subsetsSoFar, ...subsetsSoFar.map((subset) => [...subset, item])],
     [[]],
   );
 }
 
 /** Sets of incarnations that decide under a membership. */
 function quorums(membership: Membership, all: readonly Incarnation[]): Incarnation[][] {
-  const sets = quorumSets(membership);
+  const sets = voterSets(membership);
   return subsets(all).filter((subset) =>
     sets.every((set) => {
       const count = set.filter((item) => subset.includes(item)).length;
@@ -39,20 +39,25 @@
   );
 }
 
-function join(membership: Membership, replica: number, life: number): Membership {
+function join(membership: Membership, replica: number, incarnationNumber: number): Membership {
   const name = REPLICAS[replica] ?? createReplicaName('a');
-  const incarnation = asId<'incarnation'>(`${name}${life}`);
+  const incarnation = asId<'incarnation'>(`${name}${incarnationNumber}`);
   return withJoiner(membership, { replica: name, incarnation }, '', true);
 }
 
 /** Applies one change as the leader would; unchanged if it is not due. */
-function change(membership: Membership, kind: number, replica: number, life: number): Membership {
+function change(
+  membership: Membership,
+  kind: number,
+  replica: number,
+  incarnationNumber: number,
+): Membership {
   if (membership.outgoing) return withoutOutgoing(membership);
   if (kind < 3) {
     const joining = membership.members.find((member) => member.kind === 'joining');
     return joining
       ? withPromoted(membership, joining.incarnation)
-      : join(membership, replica, life);
+      : join(membership, replica, incarnationNumber);
   }
   const removed = withoutReplica(membership, REPLICAS[replica] ?? createReplicaName('a'));
   return voters(removed).length > 0 ? removed : membership;
@@ -65,10 +70,10 @@
     let before = withPromoted(founder, asId<'incarnation'>('a0'));
     steps.forEach(({ kind, replica }, position) => {
       const after = change(before, kind, replica, position + 1);
-      const all = [...new Set([...quorumSets(before).flat(), ...quorumSets(after).flat()])];
-      for (const one of quorums(before, all)) {
-        for (const other of quorums(after, all)) {
-          assert.ok(one.some((item) => other.includes(item)));
+      const all = [...new Set([...voterSets(before).flat(), ...voterSets(after).flat()])];
+      for (const quorum of quorums(before, all)) {
+        for (const otherQuorum of quorums(after, all)) {
+          assert.ok(quorum.some((item) => otherQuorum.includes(item)));
         }
       }
       before = after;
--- a/packages/consensus/src/lib/Membership.ts
+++ b/packages/consensus/src/lib/Membership.ts
@@ -53,7 +53,7 @@
 }
 
 /** Voter sets of which each must agree. @internal */
-export function quorumSets(membership: Membership): (readonly Incarnation[])[] {
+export function voterSets(membership: Membership): (readonly Incarnation[])[] {
   const { outgoing } = membership;
   return outgoing ? [voters(membership), outgoing] : [voters(membership)];
 }
@@ -103,10 +103,12 @@
   if (!joiner) return membership;
   const others = membership.members.filter((item) => item.replica !== joiner.replica);
   const members: Member[] = [...others, { ...joiner, kind: 'voter' }];
-  const before = voters(membership);
-  const isReplacement = before.some((item) => others.every((other) => other.incarnation !== item));
+  const previousVoters = voters(membership);
+  const isReplacement = previousVoters.some((item) =>
+    others.every((other) => other.incarnation !== item),
+  );
   const { admitted } = membership;
-  return isReplacement ? { members, admitted, outgoing: before } : { members, admitted };
+  return isReplacement ? { members, admitted, outgoing: previousVoters } : { members, admitted };
 }
 
 /** Gives all incarnations of a replica another part. @internal */
--- a/packages/consensus/src/lib/MembershipChanger.ts
+++ b/packages/consensus/src/lib/MembershipChanger.ts
@@ -22,9 +22,9 @@
 import type { Join, Message } from './Message';
 
 /** A member counts as reachable if it has answered within this many heartbeats. */
-const RECENT_HEARTBEATS = 5;
+const REACHABLE_HEARTBEATS = 5;
 
-interface Request {
+interface JoinRequest {
   readonly identity: Identity;
   readonly address: string;
 }
@@ -36,7 +36,7 @@
   readonly #leader: Leader;
 
   /** Replicas that have asked to join and wait for a change in progress. */
-  readonly #requests = new Map<ReplicaName, Request>();
+  readonly #joinRequests = new Map<ReplicaName, JoinRequest>();
 
   constructor(core: Core, leader: Leader) {
     this.#core = core;
@@ -45,7 +45,7 @@
 
   /** Admits a replica by name; it is added once it asks. */
   admit(replica: ReplicaName, voter: boolean): Promise<Result<void, Failure>> {
-    return this.#change(withAdmission(this.#latest, { replica, voter }));
+    return this.#proposeChange(withAdmission(this.#latest, { replica, voter }));
   }
 
   /** Removes a replica and its permission to join. */
@@ -59,14 +59,17 @@
     if (reachable.length < majority(voters(remaining).length)) {
       return fail(consensusCodes.membershipInvalid, 'most of the remaining voters do not answer');
     }
-    return this.#change(remaining);
+    return this.#proposeChange(remaining);
   }
 
   /**
    * Changes the part that a member takes: a learner becomes a voter once it has synced everything
    * committed, and a voter becomes a learner at once.
    */
-  async assign(replica: ReplicaName, kind: 'joining' | 'learner'): Promise<Result<void, Failure>> {
+  async assignKind(
+    replica: ReplicaName,
+    kind: 'joining' | 'learner',
+  ): Promise<Result<void, Failure>> {
     const member = this.#latest.members.find((item) => item.replica === replica);
     if (!member) return fail(consensusCodes.membershipInvalid, `no replica is named ${replica}`);
     const isPromotion = member.kind === 'learner' && kind === 'joining';
@@ -74,7 +77,7 @@
       const message = `${replica} is ${member.kind} and can't become ${kind}`;
       return fail(consensusCodes.membershipInvalid, message);
     }
-    return this.#change(withKind(this.#latest, replica, kind));
+    return this.#proposeChange(withKind(this.#latest, replica, kind));
   }
 
   /** Notes a request to join, if the replica is expected. */
@@ -84,31 +87,31 @@
     const isNamed = [...members, ...admitted].some((item) => item.replica === from.replica);
     const isExpected = isNamed || this.#admittedKind(from.replica) !== undefined;
     const { journal } = this.#core.settings;
-    if (!this.#requests.has(from.replica)) {
+    if (!this.#joinRequests.has(from.replica)) {
       journal.record(consensusEvents.joinRequested, { ...from, isExpected });
     }
     if (!isExpected) return;
-    this.#requests.set(from.replica, { identity: from, address: body.address });
+    this.#joinRequests.set(from.replica, { identity: from, address: body.address });
     this.tick();
   }
 
   /** Starts the next change that is due: the end of a replacement, a joiner, or a promotion. */
   tick(): void {
-    if (!this.#isReady) return;
+    if (!this.#canChange) return;
     if (this.#latest.outgoing) {
-      this.#append(withoutOutgoing(this.#latest));
+      this.#appendMembership(withoutOutgoing(this.#latest));
       return;
     }
-    const [request] = this.#requests.values();
+    const [request] = this.#joinRequests.values();
     if (request) {
-      this.#requests.delete(request.identity.replica);
-      this.#join(request);
+      this.#joinRequests.delete(request.identity.replica);
+      this.#addJoiner(request);
       return;
     }
     const promotable = this.#latest.members.find(
       (member) => member.kind === 'joining' && this.#isSynced(member),
     );
-    if (promotable) this.#append(withPromoted(this.#latest, promotable.incarnation));
+    if (promotable) this.#appendMembership(withPromoted(this.#latest, promotable.incarnation));
   }
 
   get #latest(): Membership {
@@ -116,7 +119,7 @@
   }
 
   /** Whether no change is in progress and the state of the log is known. */
-  get #isReady(): boolean {
+  get #canChange(): boolean {
     const { commitIndex, membership } = this.#core;
     return this.#leader.isEstablished && membership.latestIndex <= commitIndex;
   }
@@ -131,36 +134,36 @@
   #isReachable(incarnation: Incarnation): boolean {
     if (this.#core.isSelf({ incarnation })) return true;
     const { now, settings } = this.#core;
-    const heardAt = this.#leader.progress(incarnation)?.stamp.mono ?? -Infinity;
-    return now - heardAt <= RECENT_HEARTBEATS * settings.heartbeatMs;
+    const lastReplyAt = this.#leader.progress(incarnation)?.stamp.mono ?? -Infinity;
+    return now - lastReplyAt <= REACHABLE_HEARTBEATS * settings.heartbeatMs;
   }
 
   #admittedKind(replica: ReplicaName): Exclude<MemberKind, 'voter'> | undefined {
     return this.#core.settings.admission.admit(replica, this.#latest);
   }
 
-  #join({ identity, address }: Request): void {
+  #addJoiner({ identity, address }: JoinRequest): void {
     const { members, admitted } = this.#latest;
     const admission = admitted.find((item) => item.replica === identity.replica);
     const earlier = members.find((item) => item.replica === identity.replica);
     const kind = this.#admittedKind(identity.replica);
     if (!admission && !earlier && !kind) return;
     const isVoter = admission ? admission.voter : (earlier?.kind ?? kind) !== 'learner';
-    this.#append(withJoiner(this.#latest, identity, address, isVoter));
+    this.#appendMembership(withJoiner(this.#latest, identity, address, isVoter));
   }
 
-  async #change(membership: Membership): Promise<Result<void, Failure>> {
-    if (!this.#isReady || this.#latest.outgoing) {
+  async #proposeChange(membership: Membership): Promise<Result<void, Failure>> {
+    if (!this.#canChange || this.#latest.outgoing) {
       return fail(consensusCodes.membershipBusy, 'another change is not committed yet');
     }
     if (voters(membership).length === 0) {
       return fail(consensusCodes.membershipInvalid, 'the group would have no voter');
     }
-    const result = await this.#append(membership);
+    const result = await this.#appendMembership(membership);
     return result.isErr() ? err(result.error) : ok(undefined);
   }
 
-  #append(membership: Membership): ReturnType<Leader['waitFor']> {
+  #appendMembership(membership: Membership): ReturnType<Leader['waitFor']> {
     const entry = this.#leader.append(EntryKind.Membership, encodeMembership(membership));
     return this.#leader.waitFor(entry);
   }
--- a/packages/consensus/src/lib/MembershipHistory.ts
+++ b/packages/consensus/src/lib/MembershipHistory.ts
@@ -1,14 +1,14 @@
 import type { Incarnation } from './ids';
 import { EMPTY_MEMBERSHIP, type Member, type Membership } from './Membership';
 
-interface Version {
+interface MembershipVersion {
   readonly index: number;
   readonly membership: Membership;
 }
 
 /** The memberships in the log; the latest one binds as soon as it is in the log. @internal */
 export class MembershipHistory {
-  #versions: Version[] = [{ index: 0, membership: EMPTY_MEMBERSHIP }];
+  #versions: MembershipVersion[] = [{ index: 0, membership: EMPTY_MEMBERSHIP }];
 
   /** The membership that binds now. */
   get latest(): Membership {
@@ -53,7 +53,7 @@
     return this.latest.members.find((item) => item.incarnation === incarnation);
   }
 
-  get #last(): Version {
-    return this.#versions.at(-1) as Version;
+  get #last(): MembershipVersion {
+    return this.#versions.at(-1) as MembershipVersion;
   }
 }
--- a/packages/consensus/src/lib/Progress.ts
+++ b/packages/consensus/src/lib/Progress.ts
@@ -1,7 +1,7 @@
 import type { Identity } from './ids';
 import type { LeaseStamp } from './Message';
 
-interface Inflight {
+interface InflightAppend {
   readonly lastIndex: number;
 }
 
@@ -9,7 +9,7 @@
 export type ProgressMode = 'probe' | 'stream' | 'snapshot';
 
 /** A snapshot on its way to a member. @internal */
-export interface Transfer {
+export interface SnapshotTransfer {
   readonly index: number;
   readonly term: number;
   readonly bytes: Uint8Array;
@@ -37,15 +37,15 @@
   /** Whether a probe has been sent and not been answered. */
   isProbing = false;
 
-  transfer: Transfer | undefined;
+  transfer: SnapshotTransfer | undefined;
 
   /** Greatest stamp that the member has echoed. */
   stamp: LeaseStamp = { mono: -Infinity, wall: -Infinity };
 
   /** Commit index that was sent last. */
-  sentCommit = 0;
+  sentCommitIndex = 0;
 
-  #inflight: Inflight[] = [];
+  #inflight: InflightAppend[] = [];
 
   readonly #maxInflight: number;
 
@@ -61,7 +61,7 @@
   }
 
   /** Notes entries sent up to an index. */
-  sent(lastIndex: number): void {
+  recordSent(lastIndex: number): void {
     if (this.mode === 'probe') {
       this.isProbing = true;
       return;
@@ -71,38 +71,38 @@
   }
 
   /** Notes that the member holds everything up to an index. */
-  accepted(match: number): void {
+  recordAccepted(match: number): void {
     this.match = Math.max(this.match, match);
     this.next = Math.max(this.next, this.match + 1);
     this.#inflight = this.#inflight.filter(({ lastIndex }) => lastIndex > this.match);
     this.isProbing = false;
     if (this.mode === 'snapshot' && this.match < (this.transfer?.index ?? 0)) return;
-    if (this.mode !== 'stream') this.#become('stream');
+    if (this.mode !== 'stream') this.#switchTo('stream');
   }
 
   /** Goes back to an index at which the logs may agree. */
-  refused(hint: number): void {
+  recordRejected(hint: number): void {
     if (this.mode === 'snapshot') return;
-    this.#become('probe');
+    this.#switchTo('probe');
     this.next = Math.max(this.match, Math.min(hint, this.next - 1)) + 1;
   }
 
   /** Switches to sending a snapshot, which is loaded first. */
   beginSnapshot(): void {
-    this.#become('snapshot');
+    this.#switchTo('snapshot');
   }
 
   /** Gives a snapshot up. */
-  endSnapshot(): void {
-    this.#become('probe');
+  abortSnapshot(): void {
+    this.#switchTo('probe');
   }
 
   /** Takes in an echoed stamp. */
-  heard({ mono, wall }: LeaseStamp): void {
+  recordStamp({ mono, wall }: LeaseStamp): void {
     if (mono > this.stamp.mono) this.stamp = { mono, wall };
   }
 
-  #become(mode: ProgressMode): void {
+  #switchTo(mode: ProgressMode): void {
     this.mode = mode;
     this.#inflight = [];
     this.isProbing = false;
--- a/packages/consensus/src/lib/Proposals.ts
+++ b/packages/consensus/src/lib/Proposals.ts
@@ -10,7 +10,7 @@
 
 /** Proposals of this leader that are in its log and not applied yet, bounded in number and size. */
 export class Proposals {
-  readonly #waiting = new Map<number, Proposal>();
+  readonly #pending = new Map<number, Proposal>();
 
   readonly #maxCount: number;
 
@@ -24,36 +24,36 @@
   }
 
   get length(): number {
-    return this.#waiting.size;
+    return this.#pending.size;
   }
 
   hasRoomFor(bytes: number): boolean {
-    return this.#waiting.size < this.#maxCount && this.#bytes + bytes <= this.#maxBytes;
+    return this.#pending.size < this.#maxCount && this.#bytes + bytes <= this.#maxBytes;
   }
 
   /** Waits for the entry of an index. */
   add(index: number, bytes: number): Promise<Result<Applied, Failure>> {
     this.#bytes += bytes;
     return new Promise((resolve) => {
-      this.#waiting.set(index, { bytes, settle: resolve });
+      this.#pending.set(index, { bytes, settle: resolve });
     });
   }
 
   /** Answers the proposal of an index, if it is one of this leader. */
   settle(index: number, result: Uint8Array): void {
-    const proposal = this.#waiting.get(index);
+    const proposal = this.#pending.get(index);
     if (!proposal) return;
-    this.#waiting.delete(index);
+    this.#pending.delete(index);
     this.#bytes -= proposal.bytes;
     proposal.settle(ok({ index, result }));
   }
 
   /** Answers all that wait: whether they will be applied is not known. */
-  abandon(code: Code = consensusCodes.leadershipLost): void {
-    const waiting = [...this.#waiting.values()];
-    this.#waiting.clear();
+  failAll(code: Code = consensusCodes.leadershipLost): void {
+    const pending = [...this.#pending.values()];
+    this.#pending.clear();
     this.#bytes = 0;
-    for (const { settle } of waiting) {
+    for (const { settle } of pending) {
       settle(fail(code, 'the outcome of the command is not known', { notRun: 'unknown' }));
     }
   }
--- a/packages/consensus/src/lib/Replica.test.ts
+++ b/packages/consensus/src/lib/Replica.test.ts
@@ -36,18 +36,18 @@
   const limits = { snapshotEntries: 50, trailingEntries: 10, chunkBytes: 16 };
   const group = await createGroup({ replica: limits });
   const { cluster, leader, others } = group;
-  const [down] = others;
-  assert.ok(down);
-  cluster.crash(down);
+  const [crashed] = others;
+  assert.ok(crashed);
+  cluster.crash(crashed);
   for (let value = 1; value <= 300; value += 1) await write(group, leader, value);
   const { lastIndex, snapshotIndex } = leader.replica?.status ?? {};
   assert.ok((lastIndex ?? 0) - (snapshotIndex ?? 0) <= 60);
-  await cluster.startNow(down);
-  assert.ok(await cluster.runUntil(() => down.machine.value === 300, 2000));
-  assert.ok((down.replica?.status.snapshotIndex ?? 0) > 200);
+  await cluster.startNow(crashed);
+  assert.ok(await cluster.runUntil(() => crashed.machine.value === 300, 2000));
+  assert.ok((crashed.replica?.status.snapshotIndex ?? 0) > 200);
 });
 
-async function openOnFiles(folder: string) {
+async function openOnFiles(directory: string) {
   const timer = new SystemTimer();
   const machine = new RegisterMachine();
   const replica = createReplicaName('alone');
@@ -56,7 +56,7 @@
     replica,
     machine,
     transport: new SimulatedTransport(new SimulatedNetwork(timer, random), replica),
-    disk: await FileDisk.open(folder),
+    disk: await FileDisk.open(directory),
     timer,
     journal: createSilentJournal(timer),
     random,
@@ -73,13 +73,13 @@
 }
 
 test('a single replica on real files goes on after each restart', async (t) => {
-  const folder = await mkdtemp(join(tmpdir(), 'consensus-'));
-  t.after(() => rm(folder, { recursive: true }));
-  for (let life = 0; life < 3; life += 1) {
-    const { log, machine } = await openOnFiles(folder);
+  const directory = await mkdtemp(join(tmpdir(), 'consensus-'));
+  t.after(() => rm(directory, { recursive: true }));
+  for (let run = 0; run < 3; run += 1) {
+    const { log, machine } = await openOnFiles(directory);
     assert.ok((await log.barrier()).isOk());
-    assert.equal(machine.value, life * 50);
-    const writes = Array.from({ length: 50 }, (_, i) => life * 50 + i + 1).map((value) =>
+    assert.equal(machine.value, run * 50);
+    const writes = Array.from({ length: 50 }, (_, i) => run * 50 + i + 1).map((value) =>
       log.propose(encodeCommand({ id: value, action: { type: 'write', value } })),
     );
     for (const result of await Promise.all(writes)) assert.ok(result.isOk());
@@ -91,9 +91,9 @@
 test('a replica stops when its disk fails, and says so', async () => {
   const { cluster, leader } = await createGroup();
   leader.disk.append = () => Promise.reject(new Error('no space'));
-  const answer = leader.replica?.propose(new Uint8Array(1));
+  const proposal = leader.replica?.propose(new Uint8Array(1));
   await cluster.run(50);
-  assert.equal((await answer)?._unsafeUnwrapErr().notRun, 'unknown');
+  assert.equal((await proposal)?._unsafeUnwrapErr().notRun, 'unknown');
   assert.equal(leader.replica?.status.failure?.code.name, 'diskFailed');
 });
 
--- a/packages/consensus/src/lib/Replica.ts
+++ b/packages/consensus/src/lib/Replica.ts
@@ -27,7 +27,7 @@
 const TICKS_PER_HEARTBEAT = 2;
 
 /** Election timeouts after which a transfer is not waited for any longer. */
-const TRANSFER_ELECTIONS = 3;
+const TRANSFER_TIMEOUT_ELECTIONS = 3;
 
 /** A leadership together with what the leader does beside replicating. */
 interface Leadership {
@@ -53,7 +53,7 @@
 
   readonly #proposals: Proposals;
 
-  readonly #store = new DisposableStore();
+  readonly #disposables = new DisposableStore();
 
   readonly #actor;
 
@@ -115,16 +115,16 @@
   }
 
   override async propose(command: Uint8Array): Promise<Result<Applied, Failure>> {
-    if (!this.#leadership) return this.#refuse();
+    if (!this.#leadership) return this.#notLeaderFailure();
     return this.#leadership.leader.propose(command);
   }
 
   override async barrier(): Promise<Result<number, Failure>> {
-    if (!this.#leadership) return this.#refuse();
+    if (!this.#leadership) return this.#notLeaderFailure();
     const index = this.#leadership.leader.readIndex();
     if (index.isErr()) return index;
     const isApplied = await this.#applier.waitFor(index.value);
-    return isApplied ? index : this.#refuse();
+    return isApplied ? index : this.#notLeaderFailure();
   }
 
   override get holdsLease(): boolean {
@@ -146,7 +146,8 @@
     const { leader } = leadership;
     leadership.transfer = new LeadershipTransfer(this.#core, leader, successor.incarnation);
     leadership.transfer.tick();
-    const deadline = this.#core.now + TRANSFER_ELECTIONS * this.#core.settings.electionTimeoutMs;
+    const deadline =
+      this.#core.now + TRANSFER_TIMEOUT_ELECTIONS * this.#core.settings.electionTimeoutMs;
     const isOver = (): boolean =>
       this.#core.role === 'stopped' ||
       this.#core.now >= deadline ||
@@ -160,13 +161,13 @@
 
   /** Admits a replica by its name, as a voter or for good as a learner; it joins once it asks. */
   async addReplica(replica: ReplicaName, voter = true): Promise<Result<void, Failure>> {
-    if (!this.#leadership) return this.#refuse();
+    if (!this.#leadership) return this.#notLeaderFailure();
     return this.#leadership.changer.admit(replica, voter);
   }
 
   /** Removes a replica; a leader that removes itself steps down once that is committed. */
   async removeReplica(replica: ReplicaName): Promise<Result<void, Failure>> {
-    if (!this.#leadership) return this.#refuse();
+    if (!this.#leadership) return this.#notLeaderFailure();
     return this.#leadership.changer.remove(replica);
   }
 
@@ -175,19 +176,21 @@
     replica: ReplicaName,
     kind: 'joining' | 'learner',
   ): Promise<Result<void, Failure>> {
-    if (!this.#leadership) return this.#refuse();
-    return this.#leadership.changer.assign(replica, kind);
+    if (!this.#leadership) return this.#notLeaderFailure();
+    return this.#leadership.changer.assignKind(replica, kind);
   }
 
   /** Time since a member last answered this leader, in milliseconds; undefined if never. */
   silenceMs(incarnation: Incarnation): number | undefined {
     if (this.#core.isSelf({ incarnation })) return 0;
-    const heardAt = this.#leadership?.leader.progress(incarnation)?.stamp.mono;
-    return heardAt === undefined || heardAt === -Infinity ? undefined : this.#core.now - heardAt;
+    const lastReplyAt = this.#leadership?.leader.progress(incarnation)?.stamp.mono;
+    return lastReplyAt === undefined || lastReplyAt === -Infinity
+      ? undefined
+      : this.#core.now - lastReplyAt;
   }
 
   override async close(): Promise<void> {
-    this.#core.sendRole({ type: 'stop' });
+    this.#core.sendRoleEvent({ type: 'stop' });
     await this.#core.store.close();
   }
 
@@ -202,7 +205,7 @@
     return role === 'stopped' ? 'follower' : role;
   }
 
-  #refuse<T>(): Result<T, Failure> {
+  #notLeaderFailure<T>(): Result<T, Failure> {
     if (this.#core.role === 'stopped') {
       const cause = this.#failure?.message ?? 'it was closed';
       return fail(consensusCodes.stopped, `the replica is stopped: ${cause}`);
@@ -214,19 +217,19 @@
   #start(): void {
     const core = this.#core;
     const { timer, transport, heartbeatMs, journal } = core.settings;
-    core.sendRole = (event) => {
+    core.sendRoleEvent = (event) => {
       if (core.role !== 'stopped') this.#actor.send(event);
     };
     core.onCommit = () => this.#applier.apply();
     core.store.onSynced = () => this.#onSynced();
-    core.store.onWriting = () => this.#leadership?.leader.replicator.replicate();
+    core.store.onBeforeWrite = () => this.#leadership?.leader.replicator.replicate();
     this.#elector.ownLeaseEnd = () => this.#ownLeaseEnd;
     this.#follower.onRestore = (snapshot) => this.#applier.restore(snapshot);
     this.#applier.onEntry = (entry, result) => this.#onEntry(entry, result);
     transport.onMessage = (message) => this.#receive(message);
-    this.#store.add(timer.every(heartbeatMs / TICKS_PER_HEARTBEAT, () => this.#tick()));
-    this.#store.add(this.#applier);
-    this.#store.defer(() => {
+    this.#disposables.add(timer.every(heartbeatMs / TICKS_PER_HEARTBEAT, () => this.#tick()));
+    this.#disposables.add(this.#applier);
+    this.#disposables.defer(() => {
       transport.onMessage = () => {};
     });
     this.#actor.start();
@@ -238,14 +241,14 @@
 
   #tick(): void {
     const core = this.#core;
-    this.#wakeRoleWaiters();
+    this.#resolveRoleWaiters();
     if (this.#leadership) {
       this.#leadership.leader.tick();
       this.#leadership?.changer.tick();
       this.#tickTransfer();
     } else if (core.now >= core.electionDeadline && !core.installing) {
-      core.setElectionRetry();
-      core.sendRole({ type: 'electionTimeout' });
+      core.setElectionRetryDeadline();
+      core.sendRoleEvent({ type: 'electionTimeout' });
     }
     this.#joiner.tick();
   }
@@ -268,7 +271,7 @@
   }
 
   #onSynced(): void {
-    if (this.#leadership) this.#leadership.leader.advance();
+    if (this.#leadership) this.#leadership.leader.advanceCommit();
     else this.#follower.acknowledge();
     this.#applier.saveSnapshot();
   }
@@ -286,23 +289,23 @@
     const core = this.#core;
     return {
       skipPreVote: core.settings.unsafe.skipPreVote ?? false,
-      entered: (role) => this.#enter(role),
+      entered: (role) => this.#setRole(role),
       startPreVote: () => this.#elector.startPreVote(),
       startVote: () => this.#elector.startVote(),
       startLeading: () => this.#startLeading(),
       stopLeading: () => this.#stopLeading(),
-      release: () => this.#store[Symbol.dispose](),
+      release: () => this.#disposables[Symbol.dispose](),
     };
   }
 
-  #enter(role: Role): void {
+  #setRole(role: Role): void {
     const core = this.#core;
     if (core.role === role) return;
-    const hasLed = core.role === 'leader';
+    const wasLeader = core.role === 'leader';
     core.role = role;
     core.settings.journal.record(consensusEvents.roleChanged, { role, term: core.term });
     if (role === 'leader') core.leader = core.identity;
-    if (hasLed) this.onRole(this.status);
+    if (wasLeader) this.onRole(this.status);
   }
 
   #startLeading(): void {
@@ -319,10 +322,10 @@
     leadership?.leader[Symbol.dispose]();
     if (this.#core.leader && this.#core.isSelf(this.#core.leader)) this.#core.leader = undefined;
     this.#core.resetElectionDeadline();
-    this.#wakeRoleWaiters();
+    this.#resolveRoleWaiters();
   }
 
-  #wakeRoleWaiters(): void {
+  #resolveRoleWaiters(): void {
     if (this.#roleWaiters.length === 0) return;
     const waiters = this.#roleWaiters;
     this.#roleWaiters = [];
@@ -337,6 +340,6 @@
       code: code.name,
       message,
     });
-    this.#core.sendRole({ type: 'stop' });
+    this.#core.sendRoleEvent({ type: 'stop' });
   }
 }
--- a/packages/consensus/src/lib/ReplicaOptions.ts
+++ b/packages/consensus/src/lib/ReplicaOptions.ts
@@ -111,6 +111,6 @@
 
 /** Fills in the defaults of options that are missing or undefined. @internal */
 export function withDefaults(options: ReplicaOptions): ReplicaSettings {
-  const given = Object.entries(options).filter(([, value]) => value !== undefined);
-  return { ...DEFAULTS, ...(Object.fromEntries(given) as unknown as ReplicaOptions) };
+  const defined = Object.entries(options).filter(([, value]) => value !== undefined);
+  return { ...DEFAULTS, ...(Object.fromEntries(defined) as unknown as ReplicaOptions) };
 }
--- a/packages/consensus/src/lib/Replicator.ts
+++ b/packages/consensus/src/lib/Replicator.ts
@@ -4,7 +4,7 @@
 import { encodeFrame } from './frame';
 import type { Incarnation } from './ids';
 import type { Append, LeaseStamp, SnapshotReply } from './Message';
-import { Progress, type Transfer } from './Progress';
+import { Progress, type SnapshotTransfer } from './Progress';
 import { RECORD_VERSION, encodeSnapshot } from './records';
 
 /** Time after a commit until followers are told, unless entries tell them before. */
@@ -17,22 +17,22 @@
   /** Term of the leader; nothing may be sent in another one. */
   readonly #term: number;
 
-  readonly #store = new DisposableStore();
+  readonly #disposables = new DisposableStore();
 
   readonly #progress = new Map<Incarnation, Progress>();
 
   #commitTimer: Disposable | undefined;
 
   /** The snapshot being sent, shared by all members that need it. */
-  #loaded: { index: number; term: number; bytes: Uint8Array } | undefined;
+  #loadedSnapshot: { index: number; term: number; bytes: Uint8Array } | undefined;
 
-  #isLoading = false;
+  #isLoadingSnapshot = false;
 
   constructor(core: Core) {
     this.#core = core;
     this.#term = core.term;
-    this.#store.defer(() => this.#commitTimer?.[Symbol.dispose]());
-    this.#syncMembers();
+    this.#disposables.defer(() => this.#commitTimer?.[Symbol.dispose]());
+    this.#updateMembers();
   }
 
   progress(incarnation: Incarnation): Progress | undefined {
@@ -41,15 +41,15 @@
 
   /** Sends new entries to all members that have room for them. */
   replicate(): void {
-    this.#syncMembers();
+    this.#updateMembers();
     for (const progress of this.#progress.values()) this.sendTo(progress);
   }
 
   /** Sends a heartbeat to each member. */
   heartbeat(): void {
-    this.#syncMembers();
+    this.#updateMembers();
     const isSending = [...this.#progress.values()].some(({ mode }) => mode === 'snapshot');
-    if (!isSending) this.#loaded = undefined;
+    if (!isSending) this.#loadedSnapshot = undefined;
     for (const progress of this.#progress.values()) {
       progress.isProbing = false;
       this.#sendEntries(progress, []);
@@ -67,21 +67,21 @@
       }
       const entries = store.slice(progress.next, settings.batchBytes);
       this.#sendEntries(progress, entries);
-      progress.sent(progress.next + entries.length - 1);
+      progress.recordSent(progress.next + entries.length - 1);
     }
   }
 
   /** Tells followers of a commit soon, so that they apply it without waiting for a heartbeat. */
   announceCommit(): void {
-    if (this.#commitTimer || this.#store.isDisposed) return;
-    const tell = (): void => {
+    if (this.#commitTimer || this.#disposables.isDisposed) return;
+    const sendCommitIndex = (): void => {
       this.#commitTimer = undefined;
       const { commitIndex } = this.#core;
       for (const progress of this.#progress.values()) {
-        if (progress.sentCommit < commitIndex) this.#sendEntries(progress, []);
+        if (progress.sentCommitIndex < commitIndex) this.#sendEntries(progress, []);
       }
     };
-    this.#commitTimer = this.#core.settings.timer.after(COMMIT_DELAY_MS, tell);
+    this.#commitTimer = this.#core.settings.timer.after(COMMIT_DELAY_MS, sendCommitIndex);
   }
 
   /** Sends the next part of a snapshot. */
@@ -95,15 +95,15 @@
   }
 
   [Symbol.dispose](): void {
-    this.#store[Symbol.dispose]();
+    this.#disposables[Symbol.dispose]();
   }
 
   /** Follows the membership: starts with new members and forgets old ones. */
-  #syncMembers(): void {
+  #updateMembers(): void {
     const { peers, store, settings } = this.#core;
-    const present = new Set(peers.map(({ incarnation }) => incarnation));
+    const current = new Set(peers.map(({ incarnation }) => incarnation));
     for (const incarnation of this.#progress.keys()) {
-      if (!present.has(incarnation)) this.#progress.delete(incarnation);
+      if (!current.has(incarnation)) this.#progress.delete(incarnation);
     }
     for (const peer of peers) {
       if (this.#progress.has(peer.incarnation)) continue;
@@ -125,38 +125,42 @@
     const prevTerm = store.term(prevIndex) ?? 0;
     const stamp = this.#stamp;
     const body: Append = { type: 'append', prevIndex, prevTerm, entries, commitIndex, stamp };
-    progress.sentCommit = commitIndex;
+    progress.sentCommitIndex = commitIndex;
     this.#core.send(progress.identity, body);
   }
 
   #beginSnapshot(progress: Progress): void {
     progress.beginSnapshot();
     const { snapshotIndex } = this.#core.store;
-    if (this.#loaded?.index === snapshotIndex) this.#startTransfer(progress);
-    else if (!this.#isLoading) {
-      this.#isLoading = true;
-      this.#load().catch((error: unknown) => this.#core.failDisk(error));
+    if (this.#loadedSnapshot?.index === snapshotIndex) this.#startTransfer(progress);
+    else if (!this.#isLoadingSnapshot) {
+      this.#isLoadingSnapshot = true;
+      this.#loadSnapshot().catch((error: unknown) => this.#core.handleDiskError(error));
     }
   }
 
-  async #load(): Promise<void> {
+  async #loadSnapshot(): Promise<void> {
     const snapshot = await this.#core.store.loadSnapshot();
-    this.#isLoading = false;
-    if (!snapshot || this.#store.isDisposed) return;
+    this.#isLoadingSnapshot = false;
+    if (!snapshot || this.#disposables.isDisposed) return;
     const { index, term } = snapshot;
-    this.#loaded = { index, term, bytes: encodeFrame(RECORD_VERSION, encodeSnapshot(snapshot)) };
+    this.#loadedSnapshot = {
+      index,
+      term,
+      bytes: encodeFrame(RECORD_VERSION, encodeSnapshot(snapshot)),
+    };
     for (const progress of this.#progress.values()) {
       if (progress.mode === 'snapshot' && !progress.transfer) this.#startTransfer(progress);
     }
   }
 
   #startTransfer(progress: Progress): void {
-    if (!this.#loaded) return;
-    progress.transfer = { ...this.#loaded, offset: 0, sentAt: 0 };
+    if (!this.#loadedSnapshot) return;
+    progress.transfer = { ...this.#loadedSnapshot, offset: 0, sentAt: 0 };
     this.#sendChunk(progress, progress.transfer);
   }
 
-  #sendChunk(progress: Progress, transfer: Transfer): void {
+  #sendChunk(progress: Progress, transfer: SnapshotTransfer): void {
     assert(this.#core.term === this.#term, 'a leader sends in its own term only');
     const { index, term, bytes, offset } = transfer;
     transfer.sentAt = this.#core.now;
@@ -179,11 +183,11 @@
     const { now, store, settings } = this.#core;
     const { transfer } = progress;
     if (!transfer) {
-      if (!this.#isLoading) this.#beginSnapshot(progress);
+      if (!this.#isLoadingSnapshot) this.#beginSnapshot(progress);
       return;
     }
     if (now - transfer.sentAt < settings.electionTimeoutMs) return;
-    if (transfer.index < store.snapshotIndex) progress.endSnapshot();
+    if (transfer.index < store.snapshotIndex) progress.abortSnapshot();
     else this.#sendChunk(progress, transfer);
   }
 }
--- a/packages/consensus/src/lib/SnapshotReceiver.ts
+++ b/packages/consensus/src/lib/SnapshotReceiver.ts
@@ -10,7 +10,7 @@
   #parts: Uint8Array[] = [];
 
   /** Bytes received so far: the offset of the part that is needed next. */
-  received = 0;
+  receivedBytes = 0;
 
   /** Adds a part; returns the whole snapshot once it is complete. */
   add(term: number, chunk: SnapshotChunk): Uint8Array | undefined {
@@ -19,18 +19,18 @@
       this.#index = chunk.index;
       this.#term = term;
     }
-    if (chunk.offset !== this.received) return undefined;
+    if (chunk.offset !== this.receivedBytes) return undefined;
     this.#parts.push(chunk.data);
-    this.received += chunk.data.byteLength;
-    if (this.received < chunk.totalBytes) return undefined;
-    const whole = Buffer.concat(this.#parts);
+    this.receivedBytes += chunk.data.byteLength;
+    if (this.receivedBytes < chunk.totalBytes) return undefined;
+    const snapshot = Buffer.concat(this.#parts);
     this.#clear();
-    return whole;
+    return snapshot;
   }
 
   #clear(): void {
     this.#index = 0;
     this.#parts = [];
-    this.received = 0;
+    this.receivedBytes = 0;
   }
 }
--- a/packages/consensus/src/lib/dispatch.ts
+++ b/packages/consensus/src/lib/dispatch.ts
@@ -18,7 +18,7 @@
   readonly changer: () => MembershipChanger | undefined;
 }
 
-function as<Body extends MessageBody>(message: Message, body: Body): Message<Body> {
+function withBody<Body extends MessageBody>(message: Message, body: Body): Message<Body> {
   return { ...message, body };
 }
 
@@ -30,14 +30,14 @@
 }
 
 function handleJoin(message: Message<Join>, { joiner, changer }: Handlers): void {
-  joiner.answer(message);
+  joiner.onJoin(message);
   changer()?.onJoin(message);
 }
 
 function handleTimeoutNow({ from, term }: Message, { core, elector }: Handlers): void {
   const isFromLeader = core.leader?.incarnation === from.incarnation;
   if (term === core.term && isFromLeader && core.isVoter && !core.installing) {
-    elector.standForTransfer();
+    elector.startTransferElection();
   }
 }
 
@@ -47,25 +47,25 @@
   const { body } = message;
   if (message.term > core.term) {
     core.saveTerm(message.term, '');
-    core.sendRole({ type: 'newerTerm' });
+    core.sendRoleEvent({ type: 'newerTerm' });
   }
   switch (body.type) {
     case 'append':
-      return follower.onAppend(as(message, body));
+      return follower.onAppend(withBody(message, body));
     case 'snapshotChunk':
-      return follower.onSnapshotChunk(as(message, body));
+      return follower.onSnapshotChunk(withBody(message, body));
     case 'preVoteReply':
-      return elector.onPreVoteReply(as(message, body));
+      return elector.onPreVoteReply(withBody(message, body));
     default:
   }
   if (message.term < core.term) return undefined;
   switch (body.type) {
     case 'voteReply':
-      return elector.onVoteReply(as(message, body));
+      return elector.onVoteReply(withBody(message, body));
     case 'appendReply':
-      return leader()?.onAppendReply(as(message, body));
+      return leader()?.onAppendReply(withBody(message, body));
     case 'snapshotReply':
-      return leader()?.onSnapshotReply(as(message, body));
+      return leader()?.onSnapshotReply(withBody(message, body));
     case 'timeoutNow':
       return handleTimeoutNow(message, handlers);
     default:
@@ -80,17 +80,17 @@
   if (core.role === 'stopped' || to.replica !== core.identity.replica) return undefined;
   switch (body.type) {
     case 'join':
-      return handleJoin(as<Join>(message, body), handlers);
+      return handleJoin(withBody<Join>(message, body), handlers);
     case 'joinReply':
-      return joiner.onJoinReply(as<JoinReply>(message, body));
+      return joiner.onJoinReply(withBody<JoinReply>(message, body));
     default:
   }
   if (!isAddressed(core, message)) return undefined;
   switch (body.type) {
     case 'preVote':
-      return elector.onPreVote(as(message, body));
+      return elector.onPreVote(withBody(message, body));
     case 'vote':
-      return elector.onVote(as(message, body));
+      return elector.onVote(withBody(message, body));
     case 'append':
     case 'appendReply':
     case 'preVoteReply':
--- a/packages/consensus/src/lib/files.ts
+++ b/packages/consensus/src/lib/files.ts
@@ -2,8 +2,8 @@
 
 /** Digits of numbers in file names, so that names sort by number. */
 const DIGITS = 15;
-const SEGMENT = /^log-(\d+)$/;
-const SNAPSHOT = /^snapshot-(\d+)$/;
+const SEGMENT_PATTERN = /^log-(\d+)$/;
+const SNAPSHOT_PATTERN = /^snapshot-(\d+)$/;
 
 /** @internal */
 export const IDENTITY_FILE = 'identity';
@@ -21,20 +21,20 @@
   return `snapshot-${String(index).padStart(DIGITS, '0')}`;
 }
 
-function numbersOf(names: readonly string[], pattern: RegExp): number[] {
+function extractNumbers(names: readonly string[], pattern: RegExp): number[] {
   const numbers = names.flatMap((name) => {
-    const found = pattern.exec(name)?.[1];
-    return found === undefined ? [] : [Number(found)];
+    const digits = pattern.exec(name)?.[1];
+    return digits === undefined ? [] : [Number(digits)];
   });
   return numbers.sort((a, b) => a - b);
 }
 
 /** Numbers of the segments, ascending. @internal */
 export function segmentNumbers(names: readonly string[]): number[] {
-  return numbersOf(names, SEGMENT);
+  return extractNumbers(names, SEGMENT_PATTERN);
 }
 
 /** Indexes of the snapshots, ascending. @internal */
 export function snapshotIndexes(names: readonly string[]): number[] {
-  return numbersOf(names, SNAPSHOT);
+  return extractNumbers(names, SNAPSHOT_PATTERN);
 }
--- a/packages/consensus/src/lib/frame.ts
+++ b/packages/consensus/src/lib/frame.ts
@@ -46,14 +46,14 @@
 }
 
 /** Whether a whole frame begins anywhere after the offset. @internal */
-export function hasFrameAfter(bytes: Uint8Array, offset: number): boolean {
+export function hasCompleteFrameAfter(bytes: Uint8Array, offset: number): boolean {
   const buffer = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   const magic = Buffer.alloc(4);
   magic.writeUInt32BE(MAGIC, 0);
-  let found = buffer.indexOf(magic, offset + 1);
-  while (found >= 0) {
-    if (decodeFrame(bytes, found)) return true;
-    found = buffer.indexOf(magic, found + 1);
+  let position = buffer.indexOf(magic, offset + 1);
+  while (position >= 0) {
+    if (decodeFrame(bytes, position)) return true;
+    position = buffer.indexOf(magic, position + 1);
   }
   return false;
 }
--- a/packages/consensus/src/lib/isMessage.test.ts
+++ b/packages/consensus/src/lib/isMessage.test.ts
@@ -15,12 +15,12 @@
     seen.set(message.body.type, message);
     return true;
   };
-  const [lost] = others;
-  assert.ok(lost);
-  cluster.crash(lost);
-  lost.disk.wipe();
+  const [wiped] = others;
+  assert.ok(wiped);
+  cluster.crash(wiped);
+  wiped.disk.wipe();
   for (let value = 1; value <= 30; value += 1) await write(group, leader, value);
-  await cluster.startNow(lost);
+  await cluster.startNow(wiped);
   await cluster.run(1000);
   leader.replica?.transferLeadership().catch(assert.fail);
   await cluster.run(500);
--- a/packages/consensus/src/lib/isMessage.ts
+++ b/packages/consensus/src/lib/isMessage.ts
@@ -1,19 +1,19 @@
 import { EntryKind } from './Entry';
 import type { Message, MessageBody } from './Message';
 
-type Check = (value: unknown) => boolean;
+type Predicate = (value: unknown) => boolean;
 
-type Shape = Readonly<Record<string, Check>>;
+type Shape = Readonly<Record<string, Predicate>>;
 
-const isNumber: Check = (value) => typeof value === 'number' && !Number.isNaN(value);
-const isText: Check = (value) => typeof value === 'string';
-const isBoolean: Check = (value) => typeof value === 'boolean';
-const isBytes: Check = (value) => value instanceof Uint8Array;
+const isNumber: Predicate = (value) => typeof value === 'number' && !Number.isNaN(value);
+const isString: Predicate = (value) => typeof value === 'string';
+const isBoolean: Predicate = (value) => typeof value === 'boolean';
+const isBytes: Predicate = (value) => value instanceof Uint8Array;
 
 /** Whether a value is a count: an index, a term, an offset or a size. */
-const isCount: Check = (value) => Number.isSafeInteger(value) && (value as number) >= 0;
+const isCount: Predicate = (value) => Number.isSafeInteger(value) && (value as number) >= 0;
 
-function hasShape(shape: Shape): Check {
+function hasShape(shape: Shape): Predicate {
   return (value) => {
     if (typeof value !== 'object' || value === null) return false;
     const record = value as Record<string, unknown>;
@@ -22,13 +22,13 @@
 }
 
 const isStamp = hasShape({ mono: isNumber, wall: isNumber });
-const isIdentity = hasShape({ replica: isText, incarnation: isText });
-const isKind: Check = (value) => typeof value === 'number' && EntryKind[value] !== undefined;
+const isIdentity = hasShape({ replica: isString, incarnation: isString });
+const isKind: Predicate = (value) => typeof value === 'number' && EntryKind[value] !== undefined;
 const isEntry = hasShape({ index: isCount, term: isCount, kind: isKind, data: isBytes });
-const isEntries: Check = (value) => Array.isArray(value) && value.every(isEntry);
+const isEntries: Predicate = (value) => Array.isArray(value) && value.every(isEntry);
 
 /** Fields of each kind of message beside its type. */
-const BODIES: Readonly<Record<MessageBody['type'], Shape>> = {
+const BODY_SHAPES: Readonly<Record<MessageBody['type'], Shape>> = {
   preVote: { nextTerm: isCount, lastIndex: isCount, lastTerm: isCount },
   preVoteReply: { nextTerm: isCount, granted: isBoolean },
   vote: { lastIndex: isCount, lastTerm: isCount, transferOf: isCount },
@@ -51,17 +51,19 @@
   },
   snapshotReply: { index: isCount, nextOffset: isCount, stamp: isStamp },
   timeoutNow: {},
-  join: { address: isText },
+  join: { address: isString },
   joinReply: { hasGroup: isBoolean },
 };
 
-const isBody: Check = (value) => {
+const isBody: Predicate = (value) => {
   const type = (value as Partial<MessageBody> | null | undefined)?.type;
-  return type !== undefined && Object.hasOwn(BODIES, type) && hasShape(BODIES[type])(value);
+  return (
+    type !== undefined && Object.hasOwn(BODY_SHAPES, type) && hasShape(BODY_SHAPES[type])(value)
+  );
 };
 
 const isEnvelope = hasShape({
-  group: isText,
+  group: isString,
   from: isIdentity,
   to: isIdentity,
   term: isCount,
--- a/packages/consensus/src/lib/migrations.test.ts
+++ b/packages/consensus/src/lib/migrations.test.ts
@@ -2,19 +2,19 @@
 import test from 'node:test';
 import { migrate, type Migration } from './migrations';
 
-function append(name: string, from: number, letter: string): Migration {
+function appendLetter(name: string, from: number, letter: string): Migration {
   return { name, kind: 'entries', from, apply: (body) => Buffer.from(`${body}${letter}`) };
 }
 
-const steps = [append('add-second', 2, 'c'), append('add-first', 1, 'b')];
+const steps = [appendLetter('add-second', 2, 'c'), appendLetter('add-first', 1, 'b')];
 
 test('a record passes the steps from its version on', () => {
   const body = Buffer.from('a');
-  const passed = (version: number) =>
+  const migrated = (version: number) =>
     migrate('entries', { version, body }, steps, 4)._unsafeUnwrap().toString();
-  assert.equal(passed(1), 'abc');
-  assert.equal(passed(2), 'ac');
-  assert.equal(passed(4), 'a');
+  assert.equal(migrated(1), 'abc');
+  assert.equal(migrated(2), 'ac');
+  assert.equal(migrated(4), 'a');
   assert.equal(migrate('state', { version: 1, body }, steps, 4)._unsafeUnwrap().toString(), 'a');
 });
 
--- a/packages/consensus/src/lib/openCore.ts
+++ b/packages/consensus/src/lib/openCore.ts
@@ -14,20 +14,20 @@
 import { recover, type Recovered } from './recover';
 import type { ReplicaSettings } from './ReplicaOptions';
 
-interface Opened {
+interface OpenedCore {
   readonly core: Core;
   readonly snapshot: Snapshot | undefined;
 }
 
 /** Reads the identity of a disk, or gives an empty disk a new one. */
-async function takeIdentity(
+async function loadOrCreateIdentity(
   { disk, replica, unsafe }: ReplicaSettings,
   recovered: Recovered,
 ): Promise<Result<Identity, Failure>> {
-  const known = recovered.identity;
-  if (known?.replica === replica) return ok(known);
-  if (known) {
-    const message = `the disk belongs to the replica ${known.replica}, not ${replica}`;
+  const stored = recovered.identity;
+  if (stored?.replica === replica) return ok(stored);
+  if (stored) {
+    const message = `the disk belongs to the replica ${stored.replica}, not ${replica}`;
     return fail(consensusCodes.logDamaged, message);
   }
   if (recovered.entries.length > 0 || recovered.snapshot || recovered.state.term > 0) {
@@ -47,14 +47,14 @@
   return history;
 }
 
-async function open(settings: ReplicaSettings): Promise<Result<Opened, Failure>> {
+async function open(settings: ReplicaSettings): Promise<Result<OpenedCore, Failure>> {
   const { disk, timer, leaseMs, journal, segmentBytes, batchBytes, trailingEntries } = settings;
-  const read = await recover(disk);
-  if (read.isErr()) return err(read.error);
-  const recovered = read.value;
-  const { snapshot, cutBytes } = recovered;
-  if (cutBytes > 0) journal.record(consensusEvents.tailCut, { bytes: cutBytes });
-  const identity = await takeIdentity(settings, recovered);
+  const recovery = await recover(disk);
+  if (recovery.isErr()) return err(recovery.error);
+  const recovered = recovery.value;
+  const { snapshot, truncatedBytes } = recovered;
+  if (truncatedBytes > 0) journal.record(consensusEvents.tailCut, { bytes: truncatedBytes });
+  const identity = await loadOrCreateIdentity(settings, recovered);
   if (identity.isErr()) return err(identity.error);
   const limits = { segmentBytes, syncBytes: batchBytes, trailingEntries };
   const core = new Core({
@@ -63,13 +63,13 @@
     store: new LogStore(disk, recovered, limits),
     membership: readMemberships(recovered),
     // An incarnation that is new has granted nothing.
-    unknownLeaseUntil: recovered.identity ? timer.now() + leaseMs : 0,
+    preRestartLeaseUntil: recovered.identity ? timer.now() + leaseMs : 0,
   });
   return ok({ core, snapshot });
 }
 
 /** Reads the disk of a replica. @internal */
-export async function openCore(settings: ReplicaSettings): Promise<Result<Opened, Failure>> {
+export async function openCore(settings: ReplicaSettings): Promise<Result<OpenedCore, Failure>> {
   try {
     return await open(settings);
   } catch (error) {
--- a/packages/consensus/src/lib/recover.ts
+++ b/packages/consensus/src/lib/recover.ts
@@ -11,7 +11,7 @@
   snapshotIndexes,
   snapshotName,
 } from './files';
-import { decodeFrame, hasFrameAfter } from './frame';
+import { decodeFrame, hasCompleteFrameAfter } from './frame';
 import type { Identity } from './ids';
 import { migrate, type RecordKind } from './migrations';
 import {
@@ -38,13 +38,13 @@
   readonly entries: readonly Entry[];
   readonly segments: readonly Segment[];
   /** Bytes of an interrupted write that were cut. */
-  readonly cutBytes: number;
+  readonly truncatedBytes: number;
 }
 
 const INITIAL_STATE: HardState = { term: 0, vote: '', group: '', wasMember: false };
 
 /** Reads a file that is replaced as a whole; undefined if it is missing. */
-async function readWhole(
+async function readRecordFile(
   disk: Disk,
   names: readonly string[],
   name: string,
@@ -69,13 +69,13 @@
     this.#snapshot = snapshot;
   }
 
-  get #base(): number {
+  get #snapshotIndex(): number {
     return this.#snapshot?.index ?? 0;
   }
 
   /** False when an entry is missing before the one that was read. */
   add(entry: Entry): boolean {
-    const expected = (this.entries.at(-1)?.index ?? this.#base) + 1;
+    const expected = (this.entries.at(-1)?.index ?? this.#snapshotIndex) + 1;
     if (entry.index > expected) return false;
     const first = this.entries[0]?.index ?? entry.index;
     this.entries.length = Math.max(0, entry.index - first);
@@ -84,20 +84,20 @@
   }
 
   /** Whether the entry that the snapshot stands for, if it is there, is of the same term. */
-  get agrees(): boolean {
-    const same = this.entries.find((entry) => entry.index === this.#base);
-    return !same || same.term === this.#snapshot?.term;
+  get matchesSnapshot(): boolean {
+    const boundary = this.entries.find((entry) => entry.index === this.#snapshotIndex);
+    return !boundary || boundary.term === this.#snapshot?.term;
   }
 
   get afterSnapshot(): Entry[] {
-    return this.entries.filter((entry) => entry.index > this.#base);
+    return this.entries.filter((entry) => entry.index > this.#snapshotIndex);
   }
 }
 
 interface SegmentScan {
   readonly segment: Segment;
   /** Length of the part that is whole. */
-  readonly wholeBytes: number;
+  readonly validBytes: number;
 }
 
 function scanSegment(
@@ -119,7 +119,7 @@
     }
     offset = frame.end;
   }
-  return ok({ segment, wholeBytes: offset });
+  return ok({ segment, validBytes: offset });
 }
 
 /** Reads the segments in order and cuts an interrupted write at the end of the last one. */
@@ -127,28 +127,28 @@
   disk: Disk,
   numbers: readonly number[],
   collector: EntryCollector,
-): Promise<Result<{ segments: Segment[]; cutBytes: number }, Failure>> {
+): Promise<Result<{ segments: Segment[]; truncatedBytes: number }, Failure>> {
   const segments: Segment[] = [];
-  let cutBytes = 0;
+  let truncatedBytes = 0;
   for (const number of numbers) {
     const name = segmentName(number);
     const bytes = await disk.read(name);
     const scan = scanSegment(number, bytes, collector);
     if (scan.isErr()) return err(scan.error);
-    const { segment, wholeBytes } = scan.value;
-    if (wholeBytes < bytes.byteLength) {
+    const { segment, validBytes } = scan.value;
+    if (validBytes < bytes.byteLength) {
       // Frames are synced one after another: one that follows proves that the bad part was synced.
-      if (number !== numbers.at(-1) || hasFrameAfter(bytes, wholeBytes)) {
-        const message = `${name} is damaged at byte ${wholeBytes}, before data that is whole`;
+      if (number !== numbers.at(-1) || hasCompleteFrameAfter(bytes, validBytes)) {
+        const message = `${name} is damaged at byte ${validBytes}, before data that is whole`;
         return fail(consensusCodes.logDamaged, message);
       }
-      cutBytes = bytes.byteLength - wholeBytes;
-      await disk.truncate(name, wholeBytes);
-      segment.bytes = wholeBytes;
+      truncatedBytes = bytes.byteLength - validBytes;
+      await disk.truncate(name, validBytes);
+      segment.bytes = validBytes;
     }
     segments.push(segment);
   }
-  return ok({ segments, cutBytes });
+  return ok({ segments, truncatedBytes });
 }
 
 /**
@@ -158,30 +158,30 @@
  */
 export async function recover(disk: Disk): Promise<Result<Recovered, Failure>> {
   const names = await disk.list();
-  const identity = await readWhole(disk, names, IDENTITY_FILE, 'identity');
+  const identity = await readRecordFile(disk, names, IDENTITY_FILE, 'identity');
   if (identity.isErr()) return err(identity.error);
-  const state = await readWhole(disk, names, STATE_FILE, 'state');
+  const state = await readRecordFile(disk, names, STATE_FILE, 'state');
   if (state.isErr()) return err(state.error);
   const index = snapshotIndexes(names).at(-1);
   const name = index === undefined ? '' : snapshotName(index);
-  const snapshotBody = await readWhole(disk, names, name, 'snapshot');
+  const snapshotBody = await readRecordFile(disk, names, name, 'snapshot');
   if (snapshotBody.isErr()) return err(snapshotBody.error);
   const snapshot = snapshotBody.value && decodeSnapshot(snapshotBody.value);
   const collector = new EntryCollector(snapshot);
   const firstSegment = snapshot?.firstSegment ?? 0;
   const numbers = segmentNumbers(names).filter((number) => number >= firstSegment);
-  const replaced = segmentNumbers(names).filter((number) => number < firstSegment);
-  for (const number of replaced) await disk.remove(segmentName(number));
-  const read = await readSegments(disk, numbers, collector);
-  if (!collector.agrees) {
+  const obsolete = segmentNumbers(names).filter((number) => number < firstSegment);
+  for (const number of obsolete) await disk.remove(segmentName(number));
+  const scan = await readSegments(disk, numbers, collector);
+  if (!collector.matchesSnapshot) {
     return fail(consensusCodes.logDamaged, 'the log disagrees with the latest snapshot');
   }
-  return read.map(({ segments, cutBytes }) => ({
+  return scan.map(({ segments, truncatedBytes }) => ({
     identity: identity.value && decodeJson<Identity>(identity.value),
     state: state.value ? decodeJson<HardState>(state.value) : INITIAL_STATE,
     snapshot,
     entries: collector.afterSnapshot,
     segments,
-    cutBytes,
+    truncatedBytes,
   }));
 }
--- a/packages/consensus/src/lib/restoreGroup.test.ts
+++ b/packages/consensus/src/lib/restoreGroup.test.ts
@@ -19,8 +19,8 @@
   await drain();
   await cluster.run(RESTORE_MS);
   assert.ok((await restoring).isOk());
-  const again = await restoreGroup(founder.disk, backup);
-  assert.equal(again._unsafeUnwrapErr().code.name, 'logDamaged');
+  const second = await restoreGroup(founder.disk, backup);
+  assert.equal(second._unsafeUnwrapErr().code.name, 'logDamaged');
   await cluster.startAll();
   assert.ok(await cluster.runUntil(() => cluster.committedVoters.length === 3, 5000));
   await cluster.run(RESTORE_MS);
--- a/packages/consensus/src/lib/roleMachine.test.ts
+++ b/packages/consensus/src/lib/roleMachine.test.ts
@@ -5,17 +5,17 @@
 
 function createRoles(skipPreVote = false) {
   const trace: string[] = [];
-  const note = (name: string) => (): void => {
+  const record = (name: string) => (): void => {
     trace.push(name);
   };
   const effects = {
     skipPreVote,
-    entered: note('entered'),
-    startPreVote: note('startPreVote'),
-    startVote: note('startVote'),
-    startLeading: note('startLeading'),
-    stopLeading: note('stopLeading'),
-    release: note('release'),
+    entered: record('entered'),
+    startPreVote: record('startPreVote'),
+    startVote: record('startVote'),
+    startLeading: record('startLeading'),
+    stopLeading: record('stopLeading'),
+    release: record('release'),
   };
   const actor = createActor(roleMachine, { input: { effects } });
   actor.start();
