--- a/packages/control/src/lib/Control.ts
+++ b/packages/control/src/lib/Control.ts
@@ -50,7 +50,7 @@
     this.#transport = this.store.add(
       new PeerTransport({
         ...options,
-        locate: (replica, address) => addresses.get(replica) ?? address,
+        resolveAddress: (replica, address) => addresses.get(replica) ?? address,
       }),
     );
   }
--- a/packages/feed/src/lib/Subscription.ts
+++ b/packages/feed/src/lib/Subscription.ts
@@ -93,7 +93,7 @@
         path: '/node',
         schema: controlMessageSchema,
         keepAliveMs: KEEP_ALIVE_MS,
-        silenceMs: SILENCE_MS,
+        silenceTimeoutMs: SILENCE_MS,
       }),
     );
     this.#dialer.onLink = (link) => this.#greet(link);
--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -104,7 +104,7 @@
     this.#address = `${settings.ip}:${settings.meshPort}`;
     this.#source = `${settings.instance}/${incarnation}`;
     this.#clock = new FleetClock(timer);
-    this.#transport = new PeerTransport({ timer, journal, locate: (replica) => replica });
+    this.#transport = new PeerTransport({ timer, journal, resolveAddress: (replica) => replica });
     this.#registry = this.#createRegistry();
     this.#mesh = new Mesh({
       address: this.#address,
@@ -139,7 +139,7 @@
     this.#list?.open();
     this.#mesh.onNotice = (value) => this.#list?.take(value);
     this.#mesh.onWork = (work) => this.#directory.share(work);
-    const share = (): void => this.#mesh.shareWork(this.#directory.ownWork());
+    const share = (): void => this.#mesh.publishWork(this.#directory.ownWork());
     this.store.add(this.#options.timer.every(SHARE_MS, share));
     await this.#mesh.open();
     await this.#registry?.open();
@@ -193,7 +193,7 @@
   }
 
   get #instances(): number {
-    const { instances } = this.#mesh;
+    const { instanceCount: instances } = this.#mesh;
     return instances > 0 ? instances : ASSUMED_INSTANCES;
   }
 
@@ -202,8 +202,8 @@
     if (settings.data === undefined) return undefined;
     return new Registry({
       address: this.#address,
-      folder: settings.data,
-      founders: settings.bootstrap ? [...this.#seeds].sort() : [],
+      directory: settings.data,
+      bootstrapReplicas: settings.bootstrap ? [...this.#seeds].sort() : [],
       seeds: () => this.#seeds,
       tolerance: settings.tolerance,
       transport: this.#transport,
@@ -243,7 +243,7 @@
       callsPerS: settings.platformCallsPerS,
       instances: () => this.#instances,
       isReader: () => this.#mesh.isLeader,
-      tell: (listed) => this.#mesh.notify(listed),
+      tell: (listed) => this.#mesh.broadcastNotice(listed),
     });
   }
 
@@ -260,7 +260,7 @@
     const { usageWindowS } = this.#options.settings;
     if (workspace === undefined || usageWindowS === undefined) return;
     const window = Math.floor(this.#clock.now() / 1000 / usageWindowS);
-    this.#usage.add(this.#source, window, workspace);
+    this.#usage.countRequest(this.#source, window, workspace);
   }
 
   #apply({ version, body }: StoredConfiguration): void {
--- a/packages/gateway/src/lib/UsageReporter.ts
+++ b/packages/gateway/src/lib/UsageReporter.ts
@@ -73,7 +73,7 @@
 
   #tick(): void {
     const { registry, pauseMs, journal } = this.#options;
-    if (!registry.isLeader || registry.ledMs < pauseMs || this.#isBusy) return;
+    if (!registry.isLeader || registry.leadershipMs < pauseMs || this.#isBusy) return;
     const { term } = registry;
     if (term === this.#refusedTerm) return;
     if (term !== this.#term) {
@@ -98,7 +98,7 @@
   async #closeWindows(): Promise<void> {
     const { registry, clock, usage } = this.#options;
     const last = this.#windowAt(clock.now() - SETTLE_MS) - 1;
-    const closed = registry.machine.lastWindow;
+    const closed = registry.stateMachine.lastClosedWindow;
     const from = closed < 0 ? this.#startedWindow : Math.max(closed + 1, last - MAX_OVERDUE);
     for (let window = from; window <= last; window += 1) {
       if (!this.#isSettled(window)) return;
@@ -110,7 +110,7 @@
 
   async #reportWindows(term: number): Promise<void> {
     const { registry } = this.#options;
-    const latest = [...registry.machine.windows].slice(-REPEATED_WINDOWS);
+    const latest = [...registry.stateMachine.windows].slice(-REPEATED_WINDOWS);
     const due = latest.filter(([window]) => !this.#reported.has(window));
     for (const [window, counts] of due) {
       if (!registry.isLeader || registry.term !== term) return;
--- a/packages/link/src/lib/Dialer.ts
+++ b/packages/link/src/lib/Dialer.ts
@@ -11,13 +11,13 @@
   readonly path: string;
   readonly identity?: LinkIdentity;
   /** Longest time for a connection to be made, in milliseconds; 2000 by default. */
-  readonly connectMs?: number;
+  readonly connectTimeoutMs?: number;
   readonly random?: Random;
 }
 
-const DEFAULT_CONNECT_MS = 2000;
-const FIRST_BACKOFF_MS = 20;
-const LAST_BACKOFF_MS = 1000;
+const DEFAULT_CONNECT_TIMEOUT_MS = 2000;
+const MIN_BACKOFF_MS = 20;
+const MAX_BACKOFF_MS = 1000;
 
 /** Keeps one link open: connects again, with backoff and jitter, whenever it closes. @public */
 export class Dialer<Out, In> implements Disposable {
@@ -34,9 +34,9 @@
 
   #addresses: readonly string[];
 
-  #next = 0;
+  #nextAddressIndex = 0;
 
-  #backoffMs = FIRST_BACKOFF_MS;
+  #backoffMs = MIN_BACKOFF_MS;
 
   #link: Link<Out, In> | undefined;
 
@@ -61,7 +61,7 @@
   /** Drops the present link and tries this address first. */
   redirect(address: string): void {
     if (!this.#addresses.includes(address)) this.#addresses = [...this.#addresses, address];
-    this.#next = this.#addresses.indexOf(address);
+    this.#nextAddressIndex = this.#addresses.indexOf(address);
     this.#link?.[Symbol.dispose]();
   }
 
@@ -74,12 +74,12 @@
 
   #connect(): void {
     if (this.#disposed) return;
-    const address = this.#addresses[this.#next % this.#addresses.length] ?? '';
-    this.#next += 1;
-    const { identity, path, connectMs = DEFAULT_CONNECT_MS } = this.#options;
+    const address = this.#addresses[this.#nextAddressIndex % this.#addresses.length] ?? '';
+    this.#nextAddressIndex += 1;
+    const { identity, path, connectTimeoutMs = DEFAULT_CONNECT_TIMEOUT_MS } = this.#options;
     const scheme = identity ? 'wss' : 'ws';
     const socket = new WebSocket(`${scheme}://${address}${path}`, {
-      handshakeTimeout: connectMs,
+      handshakeTimeout: connectTimeoutMs,
       maxPayload: MAX_FRAME_BYTES,
       perMessageDeflate: false,
       ...(identity && {
@@ -92,36 +92,36 @@
       }),
     });
     this.#socket = socket;
-    const retry = (): void => this.#retry(socket);
-    socket.once('error', retry);
-    socket.once('close', retry);
+    const reconnect = (): void => this.#scheduleReconnect(socket);
+    socket.once('error', reconnect);
+    socket.once('close', reconnect);
     socket.once('open', () => {
-      socket.off('error', retry);
-      socket.off('close', retry);
-      this.#opened(socket, address);
+      socket.off('error', reconnect);
+      socket.off('close', reconnect);
+      this.#handleOpen(socket, address);
     });
   }
 
-  #opened(socket: WebSocket, address: string): void {
-    this.#backoffMs = FIRST_BACKOFF_MS;
+  #handleOpen(socket: WebSocket, address: string): void {
+    this.#backoffMs = MIN_BACKOFF_MS;
     const link = new Link<Out, In>(socket, address, this.#options);
     this.#link = link;
     this.onLink(link);
     const { onClose } = link;
     link.onClose = () => {
       this.#link = undefined;
-      this.#retry(socket);
+      this.#scheduleReconnect(socket);
       onClose();
     };
   }
 
-  #retry(socket: WebSocket): void {
+  #scheduleReconnect(socket: WebSocket): void {
     if (this.#socket !== socket || this.#disposed) return;
     this.#socket = undefined;
     // Errors that follow a failed handshake are of no more interest.
     socket.on('error', () => {});
     const delayMs = this.#backoffMs * this.#random.between(0.5, 1.5);
-    this.#backoffMs = Math.min(this.#backoffMs * 2, LAST_BACKOFF_MS);
+    this.#backoffMs = Math.min(this.#backoffMs * 2, MAX_BACKOFF_MS);
     this.#backoff = this.#options.timer.after(delayMs, () => this.#connect());
   }
 }
--- a/packages/link/src/lib/Link.test.ts
+++ b/packages/link/src/lib/Link.test.ts
@@ -10,28 +10,34 @@
 import { LinkServer } from './LinkServer';
 import { splitAddress } from './address';
 
-type Text = Link<string, string>;
+type StringLink = Link<string, string>;
 
 function createOptions() {
   const timer = new SystemTimer();
   const schema = z.string();
-  return { timer, journal: createSilentJournal(timer), schema, keepAliveMs: 20, silenceMs: 100 };
+  return {
+    timer,
+    journal: createSilentJournal(timer),
+    schema,
+    keepAliveMs: 20,
+    silenceTimeoutMs: 100,
+  };
 }
 
 async function createPair(
   t: TestContext,
-  through?: (address: string) => Promise<string>,
-  options: { gatherMs?: number; keepAliveMs?: number; silenceMs?: number } = {},
+  toDialledAddress?: (address: string) => Promise<string>,
+  options: { batchIntervalMs?: number; keepAliveMs?: number; silenceTimeoutMs?: number } = {},
 ) {
   const server = new LinkServer();
-  const served: Text[] = [];
+  const served: StringLink[] = [];
   server.accept<string, string>('/text', { ...createOptions(), ...options }, (link) => {
     served.push(link);
     link.onMessage = (message) => link.send(`echo ${message}`);
     link.onCall = async (message) => ok(message.length);
   });
   const bound = await server.listen('127.0.0.1:0');
-  const address = through ? await through(bound) : bound;
+  const address = toDialledAddress ? await toDialledAddress(bound) : bound;
   const dialer = new Dialer<string, string>({
     ...createOptions(),
     ...options,
@@ -42,7 +48,7 @@
     dialer[Symbol.dispose]();
     await server.close();
   });
-  const nextLink = (): Promise<Text> =>
+  const nextLink = (): Promise<StringLink> =>
     new Promise((resolve) => {
       dialer.onLink = resolve;
     });
@@ -52,7 +58,7 @@
 }
 
 /** A TCP relay that can stop passing bytes without closing. */
-async function createMutableRelay(t: TestContext, target: string) {
+async function createPausableRelay(t: TestContext, target: string) {
   const sockets: Socket[] = [];
   const relay = createServer((near) => {
     const { host, port } = splitAddress(target);
@@ -68,8 +74,8 @@
     sockets.forEach((socket) => socket.destroy());
     relay.close();
   });
-  const mute = (): void => sockets.forEach((socket) => socket.unpipe().pause());
-  return { address: `127.0.0.1:${(relay.address() as AddressInfo).port}`, mute };
+  const pause = (): void => sockets.forEach((socket) => socket.unpipe().pause());
+  return { address: `127.0.0.1:${(relay.address() as AddressInfo).port}`, pause };
 }
 
 test('delivers messages in order and answers calls', async (t) => {
@@ -77,8 +83,8 @@
   const received: string[] = [];
   link.onMessage = (message) => received.push(message);
   for (let i = 0; i < 100; i += 1) link.send(String(i));
-  const answer = await link.call<number>('four');
-  assert.equal(answer._unsafeUnwrap(), 4);
+  const reply = await link.call<number>('four');
+  assert.equal(reply._unsafeUnwrap(), 4);
   assert.deepEqual(
     received,
     Array.from({ length: 100 }, (_, i) => `echo ${i}`),
@@ -89,11 +95,11 @@
   'gathers ordinary messages, but not the first and urgent ones',
   { timeout: 5000 },
   async (t) => {
-    const options = { gatherMs: 60_000, keepAliveMs: 20_000, silenceMs: 60_000 };
+    const options = { batchIntervalMs: 60_000, keepAliveMs: 20_000, silenceTimeoutMs: 60_000 };
     const { link, served } = await createPair(t, undefined, options);
     const received: string[] = [];
     link.onMessage = (message) => received.push(message);
-    const [server] = served as [Text];
+    const [server] = served as [StringLink];
     const arrived = (count: number): Promise<void> =>
       new Promise((resolve) => {
         link.onMessage = (message) => {
@@ -111,10 +117,10 @@
 );
 
 test('drops a silent connection and opens another', async (t) => {
-  let mute = (): void => {};
+  let pause = (): void => {};
   const { link, nextLink } = await createPair(t, async (bound) => {
-    const relay = await createMutableRelay(t, bound);
-    mute = relay.mute;
+    const relay = await createPausableRelay(t, bound);
+    pause = relay.pause;
     return relay.address;
   });
   const closed = new Promise<void>((resolve) => {
@@ -126,7 +132,7 @@
   });
   const next = nextLink();
   const call = link.call('unanswered', 60_000);
-  mute();
+  pause();
   await closed;
   assert.equal((await call)._unsafeUnwrapErr().code.name, 'linkLost');
   assert.notEqual(await next, link);
@@ -135,7 +141,7 @@
 test('a message that fails validation closes the connection', async (t) => {
   const { link, served } = await createPair(t);
   const closed = new Promise<void>((resolve) => {
-    (served[0] as Text).onClose = resolve;
+    (served[0] as StringLink).onClose = resolve;
   });
   link.send(42 as unknown as string);
   await closed;
--- a/packages/link/src/lib/Link.ts
+++ b/packages/link/src/lib/Link.ts
@@ -4,18 +4,22 @@
 import type { RawData, WebSocket } from 'ws';
 import { linkCodes } from './codes';
 import { linkEvents } from './events';
-import { DEFAULT_KEEP_ALIVE_MS, DEFAULT_SILENCE_MS, type LinkOptions } from './LinkOptions';
+import {
+  DEFAULT_KEEP_ALIVE_INTERVAL_MS,
+  DEFAULT_SILENCE_TIMEOUT_MS,
+  type LinkOptions,
+} from './LinkOptions';
 
 /** What an envelope carries. */
-enum Kind {
+enum EnvelopeKind {
   Message,
   Call,
-  Answer,
-  Fault,
+  Reply,
+  ErrorReply,
 }
 
 /** Kind, number of the call or 0, and the payload. */
-type Envelope = [Kind, number, unknown];
+type Envelope = [EnvelopeKind, number, unknown];
 
 /** One frame: stamp of the sender's hybrid clock, and the envelopes gathered. */
 type Frame = [number, number, Envelope[]];
@@ -61,15 +65,15 @@
 
   readonly #store = new DisposableStore();
 
-  readonly #pending = new Map<number, PendingCall>();
+  readonly #pendingCalls = new Map<number, PendingCall>();
 
-  #gathered: Envelope[] = [];
+  #batch: Envelope[] = [];
 
   #nextFlush: Disposable | undefined;
 
   #isFlushUrgent = false;
 
-  #nextCall = 1;
+  #nextCallId = 1;
 
   #lastReceived: number;
 
@@ -89,7 +93,7 @@
     socket.on('message', (data) => this.#receive(toBuffer(data)));
     socket.on('close', () => this.#close());
     socket.on('error', () => this.#close());
-    const interval = options.keepAliveMs ?? DEFAULT_KEEP_ALIVE_MS;
+    const interval = options.keepAliveMs ?? DEFAULT_KEEP_ALIVE_INTERVAL_MS;
     this.#store.add(options.timer.every(interval, () => this.#keepAlive(interval)));
     options.journal.record(linkEvents.linkOpened, { peer });
   }
@@ -108,24 +112,21 @@
    * not wait to be gathered with others.
    */
   send(message: Out, isUrgent = false): void {
-    this.#enqueue([Kind.Message, 0, message], isUrgent);
+    this.#enqueue([EnvelopeKind.Message, 0, message], isUrgent);
   }
 
   /** Sends a message and waits for its answer. */
-  call<Answer>(
-    message: Out,
-    timeoutMs = DEFAULT_CALL_TIMEOUT_MS,
-  ): Promise<Result<Answer, Failure>> {
+  call<Reply>(message: Out, timeoutMs = DEFAULT_CALL_TIMEOUT_MS): Promise<Result<Reply, Failure>> {
     if (this.#closed) return Promise.resolve(fail(linkCodes.linkLost, 'the link is closed'));
-    const number = this.#nextCall;
-    this.#nextCall += 1;
+    const callId = this.#nextCallId;
+    this.#nextCallId += 1;
     return new Promise((resolve) => {
       const timeout = this.#options.timer.after(timeoutMs, () => {
-        this.#settle(number, fail(linkCodes.linkLost, `no answer within ${timeoutMs} ms`));
+        this.#settle(callId, fail(linkCodes.linkLost, `no answer within ${timeoutMs} ms`));
       });
       const settle = resolve as PendingCall['settle'];
-      this.#pending.set(number, { settle, timeout });
-      this.#enqueue([Kind.Call, number, message]);
+      this.#pendingCalls.set(callId, { settle, timeout });
+      this.#enqueue([EnvelopeKind.Call, callId, message]);
     });
   }
 
@@ -134,11 +135,11 @@
     this.#nextFlush?.[Symbol.dispose]();
     this.#nextFlush = undefined;
     this.#isFlushUrgent = false;
-    if (this.#gathered.length === 0) return;
-    const gathered = this.#gathered;
-    this.#gathered = [];
+    if (this.#batch.length === 0) return;
+    const envelopes = this.#batch;
+    this.#batch = [];
     this.#lastFlush = this.#options.timer.now();
-    this.#write(gathered);
+    this.#write(envelopes);
   }
 
   /** Drops the connection and what the kernel still holds for it. */
@@ -149,12 +150,12 @@
 
   #enqueue(envelope: Envelope, isUrgent = false): void {
     if (this.#closed) return;
-    this.#gathered.push(envelope);
+    this.#batch.push(envelope);
     if (this.#isFlushUrgent || (this.#nextFlush && !isUrgent)) return;
-    const waitMs = isUrgent ? 0 : this.#gatheringLeft();
+    const delayMs = isUrgent ? 0 : this.#batchDelayMs();
     this.#nextFlush?.[Symbol.dispose]();
-    if (waitMs > 0) {
-      this.#nextFlush = this.#options.timer.after(waitMs, () => this.flush());
+    if (delayMs > 0) {
+      this.#nextFlush = this.#options.timer.after(delayMs, () => this.flush());
       return;
     }
     this.#isFlushUrgent = true;
@@ -163,9 +164,9 @@
   }
 
   /** Time until the next frame may go: the first one after a quiet time goes at once. */
-  #gatheringLeft(): number {
-    const { gatherMs = 0, timer } = this.#options;
-    return this.#lastFlush + gatherMs - timer.now();
+  #batchDelayMs(): number {
+    const { batchIntervalMs = 0, timer } = this.#options;
+    return this.#lastFlush + batchIntervalMs - timer.now();
   }
 
   #write(envelopes: Envelope[]): void {
@@ -191,42 +192,42 @@
     }
   }
 
-  #dispatch([kind, number, payload]: Envelope): void {
+  #dispatch([kind, callId, payload]: Envelope): void {
     switch (kind) {
-      case Kind.Message:
+      case EnvelopeKind.Message:
         this.onMessage(this.#options.schema.parse(payload));
         break;
-      case Kind.Call:
-        this.#serve(number, this.#options.schema.parse(payload));
+      case EnvelopeKind.Call:
+        this.#handleCall(callId, this.#options.schema.parse(payload));
         break;
-      case Kind.Answer:
-        this.#settle(number, ok(payload));
+      case EnvelopeKind.Reply:
+        this.#settle(callId, ok(payload));
         break;
       default:
-        this.#settle(number, fail(linkCodes.callFailed, String(payload)));
+        this.#settle(callId, fail(linkCodes.callFailed, String(payload)));
     }
   }
 
-  #serve(number: number, message: In): void {
+  #handleCall(callId: number, message: In): void {
     this.onCall(message)
       .then((result) => {
-        if (result.isOk()) this.#enqueue([Kind.Answer, number, result.value]);
-        else this.#enqueue([Kind.Fault, number, result.error.message]);
+        if (result.isOk()) this.#enqueue([EnvelopeKind.Reply, callId, result.value]);
+        else this.#enqueue([EnvelopeKind.ErrorReply, callId, result.error.message]);
       })
-      .catch((error: unknown) => this.#enqueue([Kind.Fault, number, String(error)]));
+      .catch((error: unknown) => this.#enqueue([EnvelopeKind.ErrorReply, callId, String(error)]));
   }
 
-  #settle(number: number, result: Result<unknown, Failure>): void {
-    const call = this.#pending.get(number);
+  #settle(callId: number, result: Result<unknown, Failure>): void {
+    const call = this.#pendingCalls.get(callId);
     if (!call) return;
-    this.#pending.delete(number);
+    this.#pendingCalls.delete(callId);
     call.timeout[Symbol.dispose]();
     call.settle(result);
   }
 
   #keepAlive(intervalMs: number): void {
     const now = this.#options.timer.now();
-    if (now - this.#lastReceived > (this.#options.silenceMs ?? DEFAULT_SILENCE_MS)) {
+    if (now - this.#lastReceived > (this.#options.silenceTimeoutMs ?? DEFAULT_SILENCE_TIMEOUT_MS)) {
       this.#options.journal.record(linkEvents.linkSilent, { peer: this.peer });
       this[Symbol.dispose]();
       return;
@@ -239,8 +240,8 @@
     this.#closed = true;
     this.#store[Symbol.dispose]();
     this.#nextFlush?.[Symbol.dispose]();
-    for (const number of [...this.#pending.keys()]) {
-      this.#settle(number, fail(linkCodes.linkLost, 'the link closed'));
+    for (const callId of [...this.#pendingCalls.keys()]) {
+      this.#settle(callId, fail(linkCodes.linkLost, 'the link closed'));
     }
     this.#options.journal.record(linkEvents.linkClosed, { peer: this.peer });
     this.onClose();
--- a/packages/link/src/lib/LinkServer.ts
+++ b/packages/link/src/lib/LinkServer.ts
@@ -7,7 +7,7 @@
 import { closeNow } from './closeNow';
 import { listenOn } from './listenOn';
 
-type Accept = (socket: import('ws').WebSocket, peer: string) => void;
+type SocketHandler = (socket: import('ws').WebSocket, peer: string) => void;
 
 /** Accepts links of several kinds on one port; the path of the URL names the kind. @public */
 export class LinkServer {
@@ -15,7 +15,7 @@
 
   readonly #sockets = new WebSocketServer({ noServer: true, maxPayload: MAX_FRAME_BYTES });
 
-  readonly #kinds = new Map<string, Accept>();
+  readonly #handlers = new Map<string, SocketHandler>();
 
   constructor(identity?: LinkIdentity) {
     this.#server = identity
@@ -38,7 +38,7 @@
     options: LinkOptions<In>,
     onLink: (link: Link<Out, In>) => void,
   ): void {
-    this.#kinds.set(path, (socket, peer) => onLink(new Link<Out, In>(socket, peer, options)));
+    this.#handlers.set(path, (socket, peer) => onLink(new Link<Out, In>(socket, peer, options)));
   }
 
   /** Listens on `IP:PORT` and resolves to the address in use. */
@@ -53,13 +53,13 @@
   }
 
   #upgrade(request: IncomingMessage, socket: Socket, head: Buffer): void {
-    const kind = this.#kinds.get(request.url ?? '');
-    if (!kind) {
+    const handler = this.#handlers.get(request.url ?? '');
+    if (!handler) {
       socket.destroy();
       return;
     }
     socket.setNoDelay(true);
     const peer = `${socket.remoteAddress}:${socket.remotePort}`;
-    this.#sockets.handleUpgrade(request, socket, head, (webSocket) => kind(webSocket, peer));
+    this.#sockets.handleUpgrade(request, socket, head, (webSocket) => handler(webSocket, peer));
   }
 }
--- a/packages/registry/src/lib/AddressBook.test.ts
+++ b/packages/registry/src/lib/AddressBook.test.ts
@@ -7,9 +7,9 @@
   const timer = new VirtualTimer();
   const seeds = () => ['10.0.0.8:1', '10.0.0.9:1'];
   const book = new AddressBook({ address: '10.0.0.9:1', seeds, registry: undefined, timer });
-  assert.deepEqual([...book.wanted], ['10.0.0.8:1']);
-  book.learn(['10.0.0.1:1']);
-  assert.deepEqual([...book.wanted], ['10.0.0.8:1', '10.0.0.1:1']);
+  assert.deepEqual([...book.dialTargets], ['10.0.0.8:1']);
+  book.addMembers(['10.0.0.1:1']);
+  assert.deepEqual([...book.dialTargets], ['10.0.0.8:1', '10.0.0.1:1']);
   assert.deepEqual(book.members, ['10.0.0.1:1']);
 });
 
@@ -17,7 +17,7 @@
   const timer = new VirtualTimer();
   const registry = { members: ['10.0.0.1:1'] };
   const book = new AddressBook({ address: '10.0.0.1:1', seeds: () => [], registry, timer });
-  book.learn(['10.0.0.7:1']);
+  book.addMembers(['10.0.0.7:1']);
   assert.deepEqual(book.members, ['10.0.0.1:1']);
-  assert.deepEqual([...book.wanted], ['10.0.0.7:1']);
+  assert.deepEqual([...book.dialTargets], ['10.0.0.7:1']);
 });
--- a/packages/registry/src/lib/AddressBook.ts
+++ b/packages/registry/src/lib/AddressBook.ts
@@ -2,7 +2,7 @@
 import type { Registry } from './Registry';
 
 /** Time for which an address counts that others have told, in milliseconds. */
-const LEARNED_LIFE_MS = 10_000;
+const RECEIVED_ADDRESS_TTL_MS = 10_000;
 
 interface AddressBookOptions {
   /** Address of this instance between instances. */
@@ -20,7 +20,7 @@
 export class AddressBook {
   readonly #options: AddressBookOptions;
 
-  readonly #learned = new Map<string, number>();
+  readonly #receivedAt = new Map<string, number>();
 
   constructor(options: AddressBookOptions) {
     this.#options = options;
@@ -28,26 +28,26 @@
 
   /** Addresses of replicas, to tell others: from the own replica, or else as told lately. */
   get members(): string[] {
-    const own = this.#options.registry?.members ?? [];
-    return own.length > 0 ? own : this.#recent;
+    const ownMembers = this.#options.registry?.members ?? [];
+    return ownMembers.length > 0 ? ownMembers : this.#recentMembers;
   }
 
   /** Addresses to dial. */
-  get wanted(): ReadonlySet<string> {
+  get dialTargets(): ReadonlySet<string> {
     const { seeds, registry, address } = this.#options;
-    const wanted = new Set([...seeds(), ...(registry?.members ?? []), ...this.#recent]);
-    wanted.delete(address);
-    return wanted;
+    const targets = new Set([...seeds(), ...(registry?.members ?? []), ...this.#recentMembers]);
+    targets.delete(address);
+    return targets;
   }
 
-  learn(members: readonly string[]): void {
+  addMembers(members: readonly string[]): void {
     const now = this.#options.timer.now();
-    for (const member of members) this.#learned.set(member, now);
+    for (const member of members) this.#receivedAt.set(member, now);
   }
 
-  get #recent(): string[] {
-    const since = this.#options.timer.now() - LEARNED_LIFE_MS;
-    for (const [member, at] of this.#learned) if (at < since) this.#learned.delete(member);
-    return [...this.#learned.keys()];
+  get #recentMembers(): string[] {
+    const oldest = this.#options.timer.now() - RECEIVED_ADDRESS_TTL_MS;
+    for (const [member, at] of this.#receivedAt) if (at < oldest) this.#receivedAt.delete(member);
+    return [...this.#receivedAt.keys()];
   }
 }
--- a/packages/registry/src/lib/ConfigurationCache.ts
+++ b/packages/registry/src/lib/ConfigurationCache.ts
@@ -5,7 +5,7 @@
 import { registryEvents } from './events';
 import type { StoredConfiguration } from './RegistryMachine';
 
-const FILE = 'configuration.cache';
+const FILE_NAME = 'configuration.cache';
 const DIGEST_BYTES = 32;
 
 const packr = new Packr({ useRecords: false });
@@ -20,25 +20,25 @@
  * @internal
  */
 export class ConfigurationCache {
-  readonly #folder: string;
+  readonly #directory: string;
 
   #disk: FileDisk | undefined;
 
   readonly #journal: Journal;
 
-  #next: StoredConfiguration | undefined;
+  #pending: StoredConfiguration | undefined;
 
   #isWriting = false;
 
-  constructor(folder: string, journal: Journal) {
-    this.#folder = folder;
+  constructor(directory: string, journal: Journal) {
+    this.#directory = directory;
     this.#journal = journal;
   }
 
   async read(): Promise<StoredConfiguration | undefined> {
     try {
       const disk = await this.#open();
-      const bytes = Buffer.from(await disk.read(FILE));
+      const bytes = Buffer.from(await disk.read(FILE_NAME));
       const packed = bytes.subarray(DIGEST_BYTES);
       if (!digest(packed).equals(bytes.subarray(0, DIGEST_BYTES))) return undefined;
       return unpackr.unpack(packed) as StoredConfiguration;
@@ -51,18 +51,18 @@
 
   /** Writes without holding anyone up; of several configurations the latest is written. */
   write(configuration: StoredConfiguration): void {
-    this.#next = configuration;
-    if (!this.#isWriting) this.#writeNext();
+    this.#pending = configuration;
+    if (!this.#isWriting) this.#writePending();
   }
 
-  async #writeNext(): Promise<void> {
+  async #writePending(): Promise<void> {
     this.#isWriting = true;
     try {
-      while (this.#next) {
-        const packed = packr.pack(this.#next);
-        this.#next = undefined;
+      while (this.#pending) {
+        const packed = packr.pack(this.#pending);
+        this.#pending = undefined;
         const disk = await this.#open();
-        await disk.replace(FILE, Buffer.concat([digest(packed), packed]));
+        await disk.replace(FILE_NAME, Buffer.concat([digest(packed), packed]));
       }
     } catch (error) {
       this.#journal.record(registryEvents.cacheFailed, { error: String(error) });
@@ -71,7 +71,7 @@
   }
 
   async #open(): Promise<FileDisk> {
-    this.#disk ??= await FileDisk.open(this.#folder);
+    this.#disk ??= await FileDisk.open(this.#directory);
     return this.#disk;
   }
 }
--- a/packages/registry/src/lib/FleetClock.test.ts
+++ b/packages/registry/src/lib/FleetClock.test.ts
@@ -6,18 +6,18 @@
 test('a leader whose clock jumps goes on with the time of the others', () => {
   const timer = new VirtualTimer();
   const clock = new FleetClock(timer);
-  const real = timer.wall();
-  for (const instance of ['a', 'b', 'c']) clock.observe(instance, real - 4000);
-  clock.settle();
-  assert.equal(Math.round(clock.now() - real), -4000);
+  const wallMs = timer.wall();
+  for (const instance of ['a', 'b', 'c']) clock.observe(instance, wallMs - 4000);
+  clock.applyMedian();
+  assert.equal(Math.round(clock.now() - wallMs), -4000);
 });
 
 test('one reading that is far off changes nothing', () => {
   const timer = new VirtualTimer();
   const clock = new FleetClock(timer);
-  const real = timer.wall();
-  clock.observe('a', real);
-  clock.observe('b', real + 60_000);
-  clock.settle();
-  assert.ok(Math.abs(clock.now() - real) < 1);
+  const wallMs = timer.wall();
+  clock.observe('a', wallMs);
+  clock.observe('b', wallMs + 60_000);
+  clock.applyMedian();
+  assert.ok(Math.abs(clock.now() - wallMs) < 1);
 });
--- a/packages/registry/src/lib/FleetClock.ts
+++ b/packages/registry/src/lib/FleetClock.ts
@@ -1,7 +1,7 @@
 import type { Timer } from '@berylwood/base';
 
 /** Samples of instances that are older than this are left out, in milliseconds. */
-const SAMPLE_LIFE_MS = 3000;
+const MAX_SAMPLE_AGE_MS = 3000;
 
 interface Sample {
   readonly offsetMs: number;
@@ -39,7 +39,7 @@
   }
 
   /** Takes over the leader's reading. */
-  follow(leaderMs: number): void {
+  syncToLeader(leaderMs: number): void {
     this.#offsetMs = leaderMs - this.#timer.now();
   }
 
@@ -50,10 +50,10 @@
   }
 
   /** As the leader: settles on the median of all recent readings and this machine's own. */
-  settle(): void {
+  applyMedian(): void {
     const now = this.#timer.now();
     for (const [instance, { at }] of this.#samples) {
-      if (now - at > SAMPLE_LIFE_MS) this.#samples.delete(instance);
+      if (now - at > MAX_SAMPLE_AGE_MS) this.#samples.delete(instance);
     }
     const offsets = [...this.#samples.values()].map(({ offsetMs }) => offsetMs);
     this.#offsetMs = median([...offsets, this.#timer.wall() - now]);
--- a/packages/registry/src/lib/WorkBoard.ts
+++ b/packages/registry/src/lib/InFlightWork.ts
@@ -5,19 +5,19 @@
  * sum of all others, since it knows its own work better.
  * @internal
  */
-export class WorkBoard<Source> {
+export class InFlightWork<Source> {
   readonly #sources = new Map<Source, readonly EndpointWork[]>();
 
   set(source: Source, endpoints: readonly EndpointWork[]): void {
     this.#sources.set(source, endpoints);
   }
 
-  forget(source: Source): void {
+  delete(source: Source): void {
     this.#sources.delete(source);
   }
 
   /** The work of all sources but one. */
-  othersOf(source: Source): EndpointWork[] {
+  sumExcluding(source: Source): EndpointWork[] {
     const sums = new Map<string, { tokens: number[]; requests: number }>();
     for (const [other, endpoints] of this.#sources) {
       if (other === source) continue;
--- a/packages/registry/src/lib/Mesh.ts
+++ b/packages/registry/src/lib/Mesh.ts
@@ -4,22 +4,22 @@
 import { registryCodes } from './codes';
 import { registryEvents } from './events';
 import { AddressBook } from './AddressBook';
-import { CALL_MS, ConfigurationFetcher } from './ConfigurationFetcher';
+import { CALL_TIMEOUT_MS, ConfigurationFetcher } from './ConfigurationFetcher';
 import type { FleetClock } from './FleetClock';
 import {
-  upwardSchema,
-  type Downward,
+  dialerMessageSchema,
+  type AcceptorMessage,
   type EndpointWork,
   type Report,
   type Status,
-  type Upward,
+  type DialerMessage,
 } from './MeshMessage';
 import type { Registry } from './Registry';
-import { KEEP_ALIVE_MS, MESH_PATH, Peers, SILENCE_MS, type Peer } from './Peers';
+import { KEEP_ALIVE_INTERVAL_MS, MESH_PATH, Peers, SILENCE_TIMEOUT_MS, type Peer } from './Peers';
 import { ReportTimes } from './ReportTimes';
 import type { ConfigureOutcome, StoredConfiguration } from './RegistryMachine';
 import type { UsageLedger } from './UsageLedger';
-import { WorkBoard } from './WorkBoard';
+import { InFlightWork } from './InFlightWork';
 
 /** Options of the mesh of one instance. @public */
 export interface MeshOptions {
@@ -38,10 +38,10 @@
 }
 
 /** Interval of statuses and reports: a few hundred bytes each. */
-const STATUS_MS = 400;
+const STATUS_INTERVAL_MS = 400;
 
 /** Windows kept while no leader closes them: ten minutes of windows of five seconds. */
-const KEPT_WINDOWS = 120;
+const MAX_OPEN_WINDOWS = 120;
 
 /**
  * Links between all instances: each dials the seeds and the replicas of the registry, learns of
@@ -60,76 +60,77 @@
 
   readonly #options: MeshOptions;
 
-  readonly #board = new WorkBoard<Link<Downward, Upward> | 'own'>();
+  readonly #inFlightWork = new InFlightWork<Link<AcceptorMessage, DialerMessage> | 'own'>();
 
   readonly #store = new DisposableStore();
 
   readonly #peers: Peers;
 
   /** Links of instances that have dialled this one, with their addresses once known. */
-  readonly #incoming = new Map<Link<Downward, Upward>, string>();
+  readonly #incoming = new Map<Link<AcceptorMessage, DialerMessage>, string>();
 
   #configuration: StoredConfiguration | undefined;
 
   readonly #fetcher: ConfigurationFetcher;
 
-  #instances = 0;
+  #instanceCount = 0;
 
-  readonly #reports = new ReportTimes();
+  readonly #reportTimes = new ReportTimes();
 
-  readonly #addresses: AddressBook;
+  readonly #addressBook: AddressBook;
 
   #leader = '';
 
   constructor(options: MeshOptions) {
     this.#options = options;
     const { registry, timer, journal } = options;
-    this.#addresses = new AddressBook(options);
-    this.#peers = new Peers(timer, journal, (peer, link) => this.#opened(peer, link));
-    this.#fetcher = new ConfigurationFetcher(journal, (newer) => this.#adopt(newer));
+    this.#addressBook = new AddressBook(options);
+    this.#peers = new Peers(timer, journal, (peer, link) => this.#handleOpen(peer, link));
+    this.#fetcher = new ConfigurationFetcher(journal, (newer) => this.#applyConfiguration(newer));
     if (registry) {
-      registry.machine.onConfiguration = (configuration) => this.#adopt(configuration);
-      registry.onRole = () => this.#announce();
+      registry.stateMachine.onConfiguration = (configuration) =>
+        this.#applyConfiguration(configuration);
+      registry.onRole = () => this.#broadcastStatus();
     }
-    this.#store.add(timer.every(STATUS_MS, () => this.#tick()));
+    this.#store.add(timer.every(STATUS_INTERVAL_MS, () => this.#tick()));
   }
 
   /** Instances of the fleet as the leader has last counted them; 0 before it has. */
-  get instances(): number {
-    return this.#instances;
+  get instanceCount(): number {
+    return this.#instanceCount;
   }
 
   /** Serves the links of other instances on the server's port; call before it listens. */
   serve(server: LinkServer): void {
     const { timer, journal } = this.#options;
-    const times = { keepAliveMs: KEEP_ALIVE_MS, silenceMs: SILENCE_MS };
-    server.accept<Downward, Upward>(
+    const timeouts = { keepAliveMs: KEEP_ALIVE_INTERVAL_MS, silenceTimeoutMs: SILENCE_TIMEOUT_MS };
+    server.accept<AcceptorMessage, DialerMessage>(
       MESH_PATH,
-      { timer, journal, schema: upwardSchema, ...times },
+      { timer, journal, schema: dialerMessageSchema, ...timeouts },
       (link) => this.#accept(link),
     );
   }
 
   /** Begins to dial; until a newer configuration comes, the one that was last in force holds. */
   async open(): Promise<void> {
-    this.#peers.dial(this.#addresses.wanted);
-    const remembered = await this.#options.registry?.recall();
-    if (remembered) this.#adopt(remembered);
+    this.#peers.setTargets(this.#addressBook.dialTargets);
+    const cached = await this.#options.registry?.readCachedConfiguration();
+    if (cached) this.#applyConfiguration(cached);
   }
 
   /** Commits a configuration through the leader. */
   async configure(version: number, body: Uint8Array): Promise<Result<ConfigureOutcome, Failure>> {
     const { registry } = this.#options;
     if (registry?.isLeader) return registry.configure(version, body);
-    return this.#askLeader({ type: 'configure', version, body });
+    return this.#callLeader({ type: 'configure', version, body });
   }
 
   /** The newest configuration, confirmed by a quorum after this call. */
   async readNewest(): Promise<Result<StoredConfiguration | undefined, Failure>> {
     const { registry } = this.#options;
     if (registry?.isLeader) return registry.readNewest();
-    const answer = await this.#askLeader<StoredConfiguration | null>({ type: 'readNewest' });
-    return answer.map((configuration) => configuration ?? undefined);
+    const reply = await this.#callLeader<StoredConfiguration | null>({ type: 'readNewest' });
+    return reply.map((configuration) => configuration ?? undefined);
   }
 
   /**
@@ -138,20 +139,21 @@
    */
   haveAllReported(sinceMs: number): boolean {
     const { address, registry } = this.#options;
-    const others = (registry?.members ?? []).filter((member) => member !== address);
-    return this.#reports.haveAllCome(others, sinceMs);
+    const otherReplicas = (registry?.members ?? []).filter((member) => member !== address);
+    return this.#reportTimes.haveAllReported(otherReplicas, sinceMs);
   }
 
   /** Tells the work that this instance has handed over; the leader tells all others the sums. */
-  shareWork(endpoints: readonly EndpointWork[]): void {
+  publishWork(endpoints: readonly EndpointWork[]): void {
     if (!this.isLeader) {
       this.#peers.leader?.dialer.link?.send({ type: 'work', endpoints });
       return;
     }
-    this.#board.set('own', endpoints);
-    this.onWork(this.#board.othersOf('own'));
+    this.#inFlightWork.set('own', endpoints);
+    this.onWork(this.#inFlightWork.sumExcluding('own'));
     for (const [link, instance] of this.#incoming) {
-      if (instance !== '') link.send({ type: 'work', endpoints: this.#board.othersOf(link) });
+      if (instance !== '')
+        link.send({ type: 'work', endpoints: this.#inFlightWork.sumExcluding(link) });
     }
   }
 
@@ -161,7 +163,7 @@
   }
 
   /** As the leader, tells all others what it has read. */
-  notify(value: unknown): void {
+  broadcastNotice(value: unknown): void {
     if (!this.isLeader) return;
     for (const link of this.#incoming.keys()) link.send({ type: 'notice', value });
   }
@@ -172,39 +174,42 @@
     for (const link of this.#incoming.keys()) link[Symbol.dispose]();
   }
 
-  #askLeader<T>(message: Upward): Promise<Result<T, Failure>> {
+  #callLeader<T>(message: DialerMessage): Promise<Result<T, Failure>> {
     const link = this.#peers.leader?.dialer.link;
-    if (link) return link.call<T>(message, CALL_MS);
+    if (link) return link.call<T>(message, CALL_TIMEOUT_MS);
     return Promise.resolve(fail(registryCodes.leaderUnknown, 'no leader is connected'));
   }
 
-  #accept(link: Link<Downward, Upward>): void {
+  #accept(link: Link<AcceptorMessage, DialerMessage>): void {
     this.#incoming.set(link, '');
     link.onClose = () => {
       this.#incoming.delete(link);
-      this.#board.forget(link);
+      this.#inFlightWork.delete(link);
     };
     link.onMessage = (message) => {
-      if (message.type === 'report') this.#takeReport(link, message);
-      else if (message.type === 'work') this.#board.set(link, message.endpoints);
-      else if (message.type === 'hello') this.#learn(message.members);
+      if (message.type === 'report') this.#handleReport(link, message);
+      else if (message.type === 'work') this.#inFlightWork.set(link, message.endpoints);
+      else if (message.type === 'hello') this.#addMembers(message.members);
     };
-    link.onCall = (message) => this.#answer(message);
-    link.send(this.#status());
+    link.onCall = (message) => this.#handleCall(message);
+    link.send(this.#createStatus());
   }
 
-  #takeReport(link: Link<Downward, Upward>, { instance, source, wallMs, windows }: Report): void {
+  #handleReport(
+    link: Link<AcceptorMessage, DialerMessage>,
+    { instance, source, wallMs, windows }: Report,
+  ): void {
     this.#incoming.set(link, instance);
     if (!this.#options.registry?.isLeader) return;
     this.#options.clock.observe(instance, wallMs);
-    this.#reports.note(instance, this.#options.clock.now());
-    const closed = this.#options.registry.machine.lastWindow;
+    this.#reportTimes.markReported(instance, this.#options.clock.now());
+    const closed = this.#options.registry.stateMachine.lastClosedWindow;
     for (const [window, counts] of windows) {
-      if (window > closed) this.#options.usage.report(source, window, counts);
+      if (window > closed) this.#options.usage.mergeCounts(source, window, counts);
     }
   }
 
-  async #answer(message: Upward): Promise<Result<unknown, Failure>> {
+  async #handleCall(message: DialerMessage): Promise<Result<unknown, Failure>> {
     const { registry } = this.#options;
     switch (message.type) {
       case 'fetch':
@@ -220,18 +225,18 @@
     return fail(registryCodes.replicaClosed, 'this instance has no replica');
   }
 
-  #adopt(configuration: StoredConfiguration): void {
+  #applyConfiguration(configuration: StoredConfiguration): void {
     if (this.#configuration && this.#configuration.version >= configuration.version) return;
     this.#configuration = configuration;
     const { version, body } = configuration;
     const fields = { version, bytes: body.byteLength };
     this.#options.journal.record(registryEvents.configurationApplied, fields);
     this.onConfiguration(configuration);
-    this.#options.registry?.remember(configuration);
-    this.#announce();
+    this.#options.registry?.cacheConfiguration(configuration);
+    this.#broadcastStatus();
   }
 
-  #status(): Status {
+  #createStatus(): Status {
     const { registry, clock } = this.#options;
     const { isLeader } = this;
     return {
@@ -239,88 +244,89 @@
       version: this.#configuration?.version ?? -1,
       isLeader,
       term: registry?.term ?? 0,
-      members: this.#addresses.members,
-      instances: isLeader ? this.#instances : 0,
-      closedWindow: registry?.machine.lastWindow ?? -1,
+      members: this.#addressBook.members,
+      instances: isLeader ? this.#instanceCount : 0,
+      closedWindow: registry?.stateMachine.lastClosedWindow ?? -1,
       timeMs: isLeader ? clock.now() : 0,
     };
   }
 
-  #announce(): void {
-    const status = this.#status();
+  #broadcastStatus(): void {
+    const status = this.#createStatus();
     for (const link of this.#incoming.keys()) link.send(status, true);
   }
 
   #tick(): void {
     const { registry, clock, usage } = this.#options;
     if (registry?.isLeader) {
-      clock.settle();
-      this.#instances = new Set([...this.#incoming.values(), this.#options.address, '']).size - 1;
-      usage.forget(registry.machine.lastWindow);
-      this.#reports.forgetGone(clock.now());
-    } else this.#reports.clear();
-    usage.forget(usage.latest - KEPT_WINDOWS);
-    this.#announce();
-    this.#peers.dial(this.#addresses.wanted);
+      clock.applyMedian();
+      this.#instanceCount =
+        new Set([...this.#incoming.values(), this.#options.address, '']).size - 1;
+      usage.discardThrough(registry.stateMachine.lastClosedWindow);
+      this.#reportTimes.removeExpired(clock.now());
+    } else this.#reportTimes.clear();
+    usage.discardThrough(usage.latestWindow - MAX_OPEN_WINDOWS);
+    this.#broadcastStatus();
+    this.#peers.setTargets(this.#addressBook.dialTargets);
     if (registry) {
-      for (const link of this.#peers.links) this.#sayHello(link);
+      for (const link of this.#peers.links) this.#sendHello(link);
     }
-    this.#report();
-    this.#noteLeader();
+    this.#sendReport();
+    this.#updateLeader();
   }
 
-  #report(): void {
+  #sendReport(): void {
     const peer = this.#peers.leader;
     if (!peer?.dialer.link || !peer.status) return;
     const { address, source, timer, usage } = this.#options;
-    const windows = usage.since(source, peer.status.closedWindow);
+    const windows = usage.countsSince(source, peer.status.closedWindow);
     const wallMs = timer.wall();
     peer.dialer.link.send({ type: 'report', instance: address, source, wallMs, windows });
   }
 
-  #noteLeader(): void {
+  #updateLeader(): void {
     const { registry, address, journal } = this.#options;
-    const known = this.#peers.leader?.address ?? '';
-    const leader = this.isLeader ? address : known;
+    const remoteLeader = this.#peers.leader?.address ?? '';
+    const leader = this.isLeader ? address : remoteLeader;
     if (leader === this.#leader) return;
     this.#leader = leader;
     journal.record(registryEvents.leaderChanged, { leader, term: registry?.term });
   }
 
-  #opened(peer: Peer, link: Link<Upward, Downward>): void {
-    this.#sayHello(link);
+  #handleOpen(peer: Peer, link: Link<DialerMessage, AcceptorMessage>): void {
+    this.#sendHello(link);
     link.onMessage = (message) => {
-      if (message.type === 'status') this.#takeStatus(peer, link, message);
-      else if (peer === this.#peers.leader) this.#takeNews(message);
+      if (message.type === 'status') this.#handleStatus(peer, link, message);
+      else if (peer === this.#peers.leader) this.#handleLeaderMessage(message);
     };
     link.onClose = () => {
       peer.status = undefined;
     };
-    this.#report();
+    this.#sendReport();
   }
 
-  #takeNews(message: Exclude<Downward, Status>): void {
+  #handleLeaderMessage(message: Exclude<AcceptorMessage, Status>): void {
     if (message.type === 'work') this.onWork(message.endpoints);
     else this.onNotice(message.value);
   }
 
   /** Dials at once what it learns of: an instance that has just started knows little else. */
-  #learn(members: readonly string[]): void {
-    this.#addresses.learn(members);
-    this.#peers.dial(this.#addresses.wanted);
+  #addMembers(members: readonly string[]): void {
+    this.#addressBook.addMembers(members);
+    this.#peers.setTargets(this.#addressBook.dialTargets);
   }
 
-  #sayHello(link: Link<Upward, Downward>): void {
-    link.send({ type: 'hello', members: this.#addresses.members });
+  #sendHello(link: Link<DialerMessage, AcceptorMessage>): void {
+    link.send({ type: 'hello', members: this.#addressBook.members });
   }
 
-  #takeStatus(peer: Peer, link: Link<Upward, Downward>, status: Status): void {
+  #handleStatus(peer: Peer, link: Link<DialerMessage, AcceptorMessage>, status: Status): void {
     peer.status = status;
-    this.#learn(status.members);
+    this.#addMembers(status.members);
     if (status.isLeader && peer === this.#peers.leader && !this.isLeader) {
-      this.#instances = Math.max(1, status.instances);
-      this.#options.clock.follow(status.timeMs);
-      this.#options.usage.forget(status.closedWindow);
+      this.#instanceCount = Math.max(1, status.instances);
+      this.#options.clock.syncToLeader(status.timeMs);
+      this.#options.usage.discardThrough(status.closedWindow);
     }
     if (status.version > (this.#configuration?.version ?? -1)) this.#fetcher.fetch(link);
   }
--- a/packages/registry/src/lib/MeshMessage.ts
+++ b/packages/registry/src/lib/MeshMessage.ts
@@ -47,7 +47,7 @@
 }
 
 /** @internal */
-export type Upward = Hello | Report | Fetch | Configure | ReadNewest | Work;
+export type DialerMessage = Hello | Report | Fetch | Configure | ReadNewest | Work;
 
 /** Something that the leader has read for all instances; opaque to the mesh. */
 interface Notice {
@@ -56,7 +56,7 @@
 }
 
 /** @internal */
-export type Downward = Status | Work | Notice;
+export type AcceptorMessage = Status | Work | Notice;
 
 /** What an instance tells those that have dialled it. @internal */
 export interface Status {
@@ -90,7 +90,7 @@
   );
 }
 
-const areTexts = (value: unknown): boolean =>
+const isStringArray = (value: unknown): boolean =>
   Array.isArray(value) && value.every((item) => typeof item === 'string');
 
 function isWork({ endpoints }: Record<string, unknown>): boolean {
@@ -108,7 +108,7 @@
 }
 
 /** @internal */
-export const upwardSchema = z.custom<Upward>((value) => {
+export const dialerMessageSchema = z.custom<DialerMessage>((value) => {
   if (!isRecord(value)) return false;
   switch (value.type) {
     case 'report':
@@ -118,14 +118,14 @@
     case 'work':
       return isWork(value);
     case 'hello':
-      return areTexts(value.members);
+      return isStringArray(value.members);
     default:
       return value.type === 'fetch' || value.type === 'readNewest';
   }
 }, 'expected a message of an instance');
 
 /** @internal */
-export const downwardSchema = z.custom<Downward>((value) => {
+export const acceptorMessageSchema = z.custom<AcceptorMessage>((value) => {
   if (!isRecord(value)) return false;
   if (value.type === 'work') return isWork(value);
   if (value.type === 'notice') return true;
@@ -135,6 +135,6 @@
     [version, term, instances, closedWindow].every(isCount) &&
     typeof isLeader === 'boolean' &&
     Number.isFinite(timeMs) &&
-    areTexts(members)
+    isStringArray(members)
   );
 }, 'expected a status, work or a notice');
--- a/packages/registry/src/lib/PeerTransport.ts
+++ b/packages/registry/src/lib/PeerTransport.ts
@@ -9,7 +9,7 @@
   readonly journal: Journal;
   readonly identity?: LinkIdentity;
   /** Where a replica is reached, given the address in the membership, which may be empty. */
-  readonly locate: (replica: ReplicaName, address: string) => string;
+  readonly resolveAddress: (replica: ReplicaName, address: string) => string;
 }
 
 const PATH = '/peer';
@@ -18,11 +18,11 @@
 const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
 /** Silence after which a connection is replaced, so that an election does not wait for it. */
-const KEEP_ALIVE_MS = 300;
-const SILENCE_MS = 1200;
+const KEEP_ALIVE_INTERVAL_MS = 300;
+const SILENCE_TIMEOUT_MS = 1200;
 
 /** A machine without power answers nothing; it is tried again while it may be starting. */
-const CONNECT_MS = 500;
+const CONNECT_TIMEOUT_MS = 500;
 
 /** The border check: the log itself copes with stale and unexpected messages of this shape. */
 const messageSchema = z.custom<Message>((value) => {
@@ -59,9 +59,9 @@
   }
 
   override send(to: ReplicaName, message: Message, address: string): void {
-    const known = this.#options.locate(to, address);
-    if (known === '') return;
-    const { link } = this.#dialerOf(to, known);
+    const resolved = this.#options.resolveAddress(to, address);
+    if (resolved === '') return;
+    const { link } = this.#getDialer(to, resolved);
     if (!link || link.bufferedBytes > MAX_BUFFERED_BYTES) return;
     link.send(message);
   }
@@ -72,21 +72,21 @@
 
   get #linkOptions() {
     const { timer, journal } = this.#options;
-    const times = { keepAliveMs: KEEP_ALIVE_MS, silenceMs: SILENCE_MS };
-    return { timer, journal, schema: messageSchema, ...times };
+    const timeouts = { keepAliveMs: KEEP_ALIVE_INTERVAL_MS, silenceTimeoutMs: SILENCE_TIMEOUT_MS };
+    return { timer, journal, schema: messageSchema, ...timeouts };
   }
 
-  #dialerOf(to: ReplicaName, address: string): Dialer<Message, Message> {
-    const known = this.#peers.get(to);
-    if (known?.address === address) return known.dialer;
-    if (known) this.#store.release(known.dialer);
+  #getDialer(to: ReplicaName, address: string): Dialer<Message, Message> {
+    const existing = this.#peers.get(to);
+    if (existing?.address === address) return existing.dialer;
+    if (existing) this.#store.release(existing.dialer);
     const { identity } = this.#options;
     const dialer = this.#store.add(
       new Dialer<Message, Message>({
         ...this.#linkOptions,
         addresses: [address],
         path: PATH,
-        connectMs: CONNECT_MS,
+        connectTimeoutMs: CONNECT_TIMEOUT_MS,
         identity,
       }),
     );
--- a/packages/registry/src/lib/Peers.ts
+++ b/packages/registry/src/lib/Peers.ts
@@ -1,15 +1,20 @@
 import type { Journal, Timer } from '@berylwood/base';
 import { Dialer, type Link } from '@berylwood/link';
-import { downwardSchema, type Downward, type Status, type Upward } from './MeshMessage';
+import {
+  acceptorMessageSchema,
+  type AcceptorMessage,
+  type Status,
+  type DialerMessage,
+} from './MeshMessage';
 
 /** A silent link is replaced well within the time that a configuration may take to arrive. @internal */
-export const KEEP_ALIVE_MS = 400;
+export const KEEP_ALIVE_INTERVAL_MS = 400;
 
 /** @internal */
-export const SILENCE_MS = 1200;
+export const SILENCE_TIMEOUT_MS = 1200;
 
 /** A machine without power answers nothing; it is tried again while it may be starting. */
-const CONNECT_MS = 500;
+const CONNECT_TIMEOUT_MS = 500;
 
 /** Path of the links between instances. @internal */
 export const MESH_PATH = '/mesh';
@@ -17,7 +22,7 @@
 /** An instance that this one dials. @internal */
 export interface Peer {
   readonly address: string;
-  readonly dialer: Dialer<Upward, Downward>;
+  readonly dialer: Dialer<DialerMessage, AcceptorMessage>;
   status: Status | undefined;
 }
 
@@ -27,14 +32,14 @@
 
   readonly #journal: Journal;
 
-  readonly #onLink: (peer: Peer, link: Link<Upward, Downward>) => void;
+  readonly #onLink: (peer: Peer, link: Link<DialerMessage, AcceptorMessage>) => void;
 
   readonly #peers = new Map<string, Peer>();
 
   constructor(
     timer: Timer,
     journal: Journal,
-    onLink: (peer: Peer, link: Link<Upward, Downward>) => void,
+    onLink: (peer: Peer, link: Link<DialerMessage, AcceptorMessage>) => void,
   ) {
     this.#timer = timer;
     this.#journal = journal;
@@ -52,15 +57,15 @@
   }
 
   /** Open links. */
-  get links(): Link<Upward, Downward>[] {
+  get links(): Link<DialerMessage, AcceptorMessage>[] {
     return [...this.#peers.values()].flatMap(({ dialer }) => dialer.link ?? []);
   }
 
   /** Dials addresses that are new, and gives up those that are not wanted and don't answer. */
-  dial(wanted: ReadonlySet<string>): void {
-    for (const address of wanted) if (!this.#peers.has(address)) this.#add(address);
+  setTargets(targets: ReadonlySet<string>): void {
+    for (const address of targets) if (!this.#peers.has(address)) this.#add(address);
     for (const [address, { dialer }] of this.#peers) {
-      if (wanted.has(address) || dialer.link) continue;
+      if (targets.has(address) || dialer.link) continue;
       dialer[Symbol.dispose]();
       this.#peers.delete(address);
     }
@@ -71,15 +76,15 @@
   }
 
   #add(address: string): void {
-    const dialer = new Dialer<Upward, Downward>({
+    const dialer = new Dialer<DialerMessage, AcceptorMessage>({
       addresses: [address],
       path: MESH_PATH,
-      connectMs: CONNECT_MS,
+      connectTimeoutMs: CONNECT_TIMEOUT_MS,
       timer: this.#timer,
       journal: this.#journal,
-      schema: downwardSchema,
-      keepAliveMs: KEEP_ALIVE_MS,
-      silenceMs: SILENCE_MS,
+      schema: acceptorMessageSchema,
+      keepAliveMs: KEEP_ALIVE_INTERVAL_MS,
+      silenceTimeoutMs: SILENCE_TIMEOUT_MS,
     });
     const peer: Peer = { address, dialer, status: undefined };
     dialer.onLink = (link) => this.#onLink(peer, link);
--- a/packages/registry/src/lib/Registry.ts
+++ b/packages/registry/src/lib/Registry.ts
@@ -27,9 +27,9 @@
   /** Address of this instance between instances, `IP:PORT`; it also names the replica. */
   readonly address: string;
   /** Folder of the log and the snapshots; its parent exists. */
-  readonly folder: string;
+  readonly directory: string;
   /** Replicas that found the first group; empty when one exists already. */
-  readonly founders: readonly string[];
+  readonly bootstrapReplicas: readonly string[];
   /** Addresses to ask for a group. */
   readonly seeds: () => readonly string[];
   /** Members that may be lost at the same time. */
@@ -40,9 +40,9 @@
 }
 
 /** Heartbeats cost processor time on every replica; an election may take two seconds. */
-const HEARTBEAT_MS = 150;
-const LEASE_MS = 900;
-const ELECTION_MS = 1000;
+const HEARTBEAT_INTERVAL_MS = 150;
+const LEASE_DURATION_MS = 900;
+const ELECTION_TIMEOUT_MS = 1000;
 
 /** A document of the largest allowed body that hardly compresses still fits. */
 const MAX_COMMAND_BYTES = 6 * 1024 * 1024;
@@ -54,19 +54,19 @@
 const TRAILING_ENTRIES = 64;
 
 /** Interval of looking at the members, and at a replica that has stopped. */
-const WATCH_MS = 500;
+const CHECK_INTERVAL_MS = 500;
 
 /** Silence after which a voter is replaced, above the freezes and restarts that pass by themselves. */
-const REPLACE_AFTER_MS = 3000;
-const FORGET_AFTER_MS = 120_000;
+const REPLACE_VOTER_AFTER_MS = 3000;
+const REMOVE_LEARNER_AFTER_MS = 120_000;
 
 /** Pause before a replica with a failed disk is opened again. */
-const REOPEN_MS = 500;
+const REOPEN_DELAY_MS = 500;
 
 const unpackr = new Unpackr({ useRecords: false });
 
 /** Takes every instance with a disk as a learner; the plan of the membership promotes it. */
-class OpenAdmission extends AdmissionPolicy {
+class AdmitAsLearner extends AdmissionPolicy {
   override admit(): 'learner' {
     return 'learner';
   }
@@ -77,7 +77,7 @@
   /** Called when this replica begins or ceases to lead, and when another leads. */
   onRole: () => void = () => {};
 
-  readonly machine = new RegistryMachine();
+  readonly stateMachine = new RegistryMachine();
 
   readonly #options: RegistryOptions;
 
@@ -87,40 +87,43 @@
 
   #replica: Replica | undefined;
 
-  #isChanging = false;
+  #isMembershipChanging = false;
 
   #isClosed = false;
 
   /** Monotonic time since which this replica leads. */
-  #ledSince = Infinity;
+  #leaderSince = Infinity;
 
   constructor(options: RegistryOptions) {
     this.#options = options;
-    this.#cache = new ConfigurationCache(join(options.folder, 'cache'), options.journal);
-    this.#store.add(options.timer.every(WATCH_MS, () => this.#watch()));
+    this.#cache = new ConfigurationCache(join(options.directory, 'cache'), options.journal);
+    this.#store.add(options.timer.every(CHECK_INTERVAL_MS, () => this.#checkReplica()));
   }
 
   /** Opens the replica; a failure of the disk is logged and tried again later. */
   async open(): Promise<void> {
-    const { address, folder, founders, transport, timer, journal, seeds } = this.#options;
+    const { address, directory, bootstrapReplicas, transport, timer, journal, seeds } =
+      this.#options;
     try {
-      mkdirSync(folder, { recursive: true });
-      const others = [...new Set([...founders, ...seeds()])].filter((item) => item !== address);
+      mkdirSync(directory, { recursive: true });
+      const otherReplicas = [...new Set([...bootstrapReplicas, ...seeds()])].filter(
+        (item) => item !== address,
+      );
       const opened = await Replica.open({
         replica: createReplicaName(address),
-        machine: this.machine,
+        machine: this.stateMachine,
         transport,
-        disk: await FileDisk.open(join(folder, 'log')),
+        disk: await FileDisk.open(join(directory, 'log')),
         timer,
         journal,
         random: new Random(Math.floor(Math.random() * 2 ** 31)),
         address,
-        seeds: others.map(createReplicaName),
-        founder: founders[0] === address,
-        admission: new OpenAdmission(),
-        heartbeatMs: HEARTBEAT_MS,
-        leaseMs: LEASE_MS,
-        electionTimeoutMs: ELECTION_MS,
+        seeds: otherReplicas.map(createReplicaName),
+        founder: bootstrapReplicas[0] === address,
+        admission: new AdmitAsLearner(),
+        heartbeatMs: HEARTBEAT_INTERVAL_MS,
+        leaseMs: LEASE_DURATION_MS,
+        electionTimeoutMs: ELECTION_TIMEOUT_MS,
         maxCommandBytes: MAX_COMMAND_BYTES,
         segmentBytes: SEGMENT_BYTES,
         snapshotBytes: SNAPSHOT_BYTES,
@@ -128,9 +131,9 @@
         trailingEntries: TRAILING_ENTRIES,
       });
       if (opened.isErr()) throw opened.error;
-      this.#adopt(opened.value);
+      this.#attachReplica(opened.value);
     } catch (error) {
-      this.#failed(error);
+      this.#handleFailure(error);
     }
   }
 
@@ -140,8 +143,8 @@
   }
 
   /** Time for which this replica has led without a break, in milliseconds. */
-  get ledMs(): number {
-    return this.isLeader ? this.#options.timer.now() - this.#ledSince : 0;
+  get leadershipMs(): number {
+    return this.isLeader ? this.#options.timer.now() - this.#leaderSince : 0;
   }
 
   get term(): number {
@@ -154,12 +157,12 @@
   }
 
   /** The configuration that was in force here before a restart. */
-  recall(): Promise<StoredConfiguration | undefined> {
+  readCachedConfiguration(): Promise<StoredConfiguration | undefined> {
     return this.#cache.read();
   }
 
   /** Keeps a committed configuration for the next start. */
-  remember(configuration: StoredConfiguration): void {
+  cacheConfiguration(configuration: StoredConfiguration): void {
     this.#cache.write(configuration);
   }
 
@@ -171,7 +174,7 @@
   /** The newest document, confirmed by a quorum after this call. */
   async readNewest(): Promise<Result<StoredConfiguration | undefined, Failure>> {
     const confirmed = await this.#propose<null>({ type: 'confirm' });
-    return confirmed.map(() => this.machine.configuration);
+    return confirmed.map(() => this.stateMachine.configuration);
   }
 
   /** Freezes the counts of a window; resolves to those that are kept. */
@@ -193,10 +196,10 @@
     this.#close();
   }
 
-  #adopt(replica: Replica): void {
+  #attachReplica(replica: Replica): void {
     this.#replica = replica;
     replica.onRole = ({ role }) => {
-      this.#ledSince = role === 'leader' ? this.#options.timer.now() : Infinity;
+      this.#leaderSince = role === 'leader' ? this.#options.timer.now() : Infinity;
       this.onRole();
     };
     if (this.#isClosed) this.#close();
@@ -216,17 +219,17 @@
     return err(applied.error);
   }
 
-  #watch(): void {
+  #checkReplica(): void {
     const failure = this.#replica?.status.failure;
-    if (failure) this.#failed(failure);
-    else if (this.isLeader) this.#plan();
+    if (failure) this.#handleFailure(failure);
+    else if (this.isLeader) this.#adjustMembership();
   }
 
-  #failed(error: unknown): void {
+  #handleFailure(error: unknown): void {
     const { journal, timer } = this.#options;
     journal.record(registryEvents.replicaFailed, { error: String(error) });
     this.#close();
-    if (!this.#isClosed) this.#store.add(timer.after(REOPEN_MS, () => this.open()));
+    if (!this.#isClosed) this.#store.add(timer.after(REOPEN_DELAY_MS, () => this.open()));
   }
 
   #close(): void {
@@ -235,23 +238,26 @@
       journal.record(registryEvents.replicaFailed, { error: String(error) });
     });
     this.#replica = undefined;
-    this.#ledSince = Infinity;
+    this.#leaderSince = Infinity;
   }
 
-  #plan(): void {
+  #adjustMembership(): void {
     const replica = this.#replica;
-    if (!replica || this.#isChanging) return;
+    if (!replica || this.#isMembershipChanging) return;
     const members = replica.status.membership.members.map((member) => ({
       ...member,
-      silenceMs: replica.silenceMs(member.incarnation) ?? this.ledMs,
+      silenceMs: replica.silenceMs(member.incarnation) ?? this.leadershipMs,
     }));
-    const limits = { replaceAfterMs: REPLACE_AFTER_MS, forgetAfterMs: FORGET_AFTER_MS };
+    const limits = {
+      replaceAfterMs: REPLACE_VOTER_AFTER_MS,
+      removeAfterMs: REMOVE_LEARNER_AFTER_MS,
+    };
     const step = planMembership(members, 2 * this.#options.tolerance + 1, limits);
     if (!step) return;
-    this.#isChanging = true;
+    this.#isMembershipChanging = true;
     const { journal } = this.#options;
     journal.record(registryEvents.membershipPlanned, { ...step, members });
-    this.#change(replica, step.replica, step.change)
+    this.#changeMember(replica, step.replica, step.change)
       .then((result) => {
         if (result.isErr()) {
           const { message } = result.error;
@@ -259,11 +265,11 @@
         }
       })
       .finally(() => {
-        this.#isChanging = false;
+        this.#isMembershipChanging = false;
       });
   }
 
-  #change(
+  #changeMember(
     replica: Replica,
     name: ReturnType<typeof createReplicaName>,
     change: 'promote' | 'demote' | 'remove',
--- a/packages/registry/src/lib/RegistryMachine.test.ts
+++ b/packages/registry/src/lib/RegistryMachine.test.ts
@@ -13,7 +13,7 @@
   return { type: 'configure', version, body: Buffer.from(text) };
 }
 
-function heldText(machine: RegistryMachine): string {
+function storedText(machine: RegistryMachine): string {
   return Buffer.from(machine.configuration?.body ?? []).toString();
 }
 
@@ -21,14 +21,14 @@
   const machine = new RegistryMachine();
   assert.deepEqual(apply(machine, configure(7, 'seven')), { isStored: true, version: 7 });
   assert.deepEqual(apply(machine, configure(3, 'three')), { isStored: false, version: 7 });
-  assert.equal(heldText(machine), 'seven');
+  assert.equal(storedText(machine), 'seven');
 });
 
 test('other content under the version held changes nothing', () => {
   const machine = new RegistryMachine();
   apply(machine, configure(7, 'seven'));
   assert.deepEqual(apply(machine, configure(7, 'other')), { isStored: false, version: 7 });
-  assert.equal(heldText(machine), 'seven');
+  assert.equal(storedText(machine), 'seven');
 });
 
 test('the first counts of a window are kept', () => {
@@ -36,7 +36,7 @@
   const close = (counts: string) => apply(machine, { type: 'closeWindow', window: 12, counts });
   assert.equal(close('{"a":1}'), '{"a":1}');
   assert.equal(close('{"a":2}'), '{"a":1}');
-  assert.equal(machine.lastWindow, 12);
+  assert.equal(machine.lastClosedWindow, 12);
 });
 
 test('a snapshot restores configuration and windows', () => {
@@ -45,6 +45,6 @@
   apply(machine, { type: 'closeWindow', window: 12, counts: '{}' });
   const restored = new RegistryMachine();
   restored.restore(machine.snapshot());
-  assert.equal(heldText(restored), 'seven');
+  assert.equal(storedText(restored), 'seven');
   assert.deepEqual([...restored.windows], [[12, '{}']]);
 });
--- a/packages/registry/src/lib/RegistryMachine.ts
+++ b/packages/registry/src/lib/RegistryMachine.ts
@@ -28,10 +28,10 @@
   readonly windows: readonly [number, string][];
 }
 
-const FORMAT = 1;
+const SNAPSHOT_FORMAT = 1;
 
 /** Closed windows kept for exact repeats: an hour of windows of five seconds. */
-const KEPT_WINDOWS = 720;
+const MAX_CLOSED_WINDOWS = 720;
 
 const packr = new Packr({ useRecords: false });
 const unpackr = new Unpackr({ useRecords: false });
@@ -55,7 +55,7 @@
   }
 
   /** Number of the latest window that is closed; -1 without one. */
-  get lastWindow(): number {
+  get lastClosedWindow(): number {
     return Math.max(-1, ...this.#windows.keys());
   }
 
@@ -78,7 +78,11 @@
 
   override snapshot(): Uint8Array {
     const configuration = this.#configuration;
-    const snapshot: Snapshot = { format: FORMAT, configuration, windows: [...this.#windows] };
+    const snapshot: Snapshot = {
+      format: SNAPSHOT_FORMAT,
+      configuration,
+      windows: [...this.#windows],
+    };
     return packr.pack(snapshot);
   }
 
@@ -92,8 +96,8 @@
 
   /** The highest version wins; a repeat or an overtaken version changes nothing. */
   #configure(version: number, body: Uint8Array): ConfigureOutcome {
-    const held = this.#configuration;
-    if (held && held.version >= version) return { isStored: false, version: held.version };
+    const current = this.#configuration;
+    if (current && current.version >= version) return { isStored: false, version: current.version };
     this.#configuration = { version, body: Uint8Array.from(body) };
     this.onConfiguration(this.#configuration);
     return { isStored: true, version };
@@ -105,7 +109,8 @@
     if (frozen !== undefined) return frozen;
     this.#windows.set(window, counts);
     const [oldest] = this.#windows.keys();
-    if (this.#windows.size > KEPT_WINDOWS && oldest !== undefined) this.#windows.delete(oldest);
+    if (this.#windows.size > MAX_CLOSED_WINDOWS && oldest !== undefined)
+      this.#windows.delete(oldest);
     return counts;
   }
 }
--- a/packages/registry/src/lib/ReportTimes.test.ts
+++ b/packages/registry/src/lib/ReportTimes.test.ts
@@ -4,18 +4,18 @@
 
 test('a window waits for an instance that is expected and silent', () => {
   const reports = new ReportTimes();
-  reports.note('a', 5000);
-  assert.equal(reports.haveAllCome([], 4000), true);
-  assert.equal(reports.haveAllCome(['b'], 4000), false);
-  reports.note('b', 4500);
-  assert.equal(reports.haveAllCome(['b'], 4000), true);
-  assert.equal(reports.haveAllCome([], 5500), false);
+  reports.markReported('a', 5000);
+  assert.equal(reports.haveAllReported([], 4000), true);
+  assert.equal(reports.haveAllReported(['b'], 4000), false);
+  reports.markReported('b', 4500);
+  assert.equal(reports.haveAllReported(['b'], 4000), true);
+  assert.equal(reports.haveAllReported([], 5500), false);
 });
 
 test('an instance that is gone is waited for no longer', () => {
   const reports = new ReportTimes();
-  reports.note('a', 1000);
-  reports.note('b', 30_000);
-  reports.forgetGone(30_000);
-  assert.equal(reports.haveAllCome([], 29_000), true);
+  reports.markReported('a', 1000);
+  reports.markReported('b', 30_000);
+  reports.removeExpired(30_000);
+  assert.equal(reports.haveAllReported([], 29_000), true);
 });
--- a/packages/registry/src/lib/ReportTimes.ts
+++ b/packages/registry/src/lib/ReportTimes.ts
@@ -1,17 +1,17 @@
 /** Silence after which an instance counts as gone, above every cut that may heal. */
-const GONE_AFTER_MS = 20_000;
+const EXPIRY_MS = 20_000;
 
 /** When instances last reported to this leader, in fleet time. @internal */
 export class ReportTimes {
   readonly #times = new Map<string, number>();
 
-  note(instance: string, nowMs: number): void {
+  markReported(instance: string, nowMs: number): void {
     this.#times.set(instance, nowMs);
   }
 
-  forgetGone(nowMs: number): void {
+  removeExpired(nowMs: number): void {
     for (const [instance, at] of this.#times) {
-      if (nowMs - at > GONE_AFTER_MS) this.#times.delete(instance);
+      if (nowMs - at > EXPIRY_MS) this.#times.delete(instance);
     }
   }
 
@@ -20,7 +20,7 @@
   }
 
   /** Whether all that have ever reported, and all that are expected, have done so since a time. */
-  haveAllCome(expected: readonly string[], sinceMs: number): boolean {
+  haveAllReported(expected: readonly string[], sinceMs: number): boolean {
     const known = new Set([...this.#times.keys(), ...expected]);
     return [...known].every((instance) => (this.#times.get(instance) ?? 0) >= sinceMs);
   }
--- a/packages/registry/src/lib/UsageLedger.ts
+++ b/packages/registry/src/lib/UsageLedger.ts
@@ -10,26 +10,26 @@
   readonly #windows = new Map<number, Map<string, WindowCounts>>();
 
   /** Number of the latest window with counts; 0 without one. */
-  get latest(): number {
+  get latestWindow(): number {
     return Math.max(0, ...this.#windows.keys());
   }
 
   /** Adds a request of this instance. */
-  add(source: string, window: number, workspace: string): void {
-    const counts = this.#of(window, source);
+  countRequest(source: string, window: number, workspace: string): void {
+    const counts = this.#countsOf(window, source);
     counts[workspace] = (counts[workspace] ?? 0) + 1;
   }
 
   /** Takes over the cumulative counts that another instance reports. */
-  report(source: string, window: number, counts: WindowCounts): void {
-    const known = this.#of(window, source);
+  mergeCounts(source: string, window: number, counts: WindowCounts): void {
+    const known = this.#countsOf(window, source);
     for (const [workspace, count] of Object.entries(counts)) {
       known[workspace] = Math.max(known[workspace] ?? 0, count);
     }
   }
 
   /** Counts of one source in the windows after a number. */
-  since(source: string, window: number): [number, WindowCounts][] {
+  countsSince(source: string, window: number): [number, WindowCounts][] {
     return [...this.#windows].flatMap(([number, sources]): [number, WindowCounts][] => {
       const counts = sources.get(source);
       return number > window && counts ? [[number, counts]] : [];
@@ -48,13 +48,13 @@
   }
 
   /** Forgets windows up to a number. */
-  forget(window: number): void {
+  discardThrough(window: number): void {
     for (const number of this.#windows.keys()) {
       if (number <= window) this.#windows.delete(number);
     }
   }
 
-  #of(window: number, source: string): WindowCounts {
+  #countsOf(window: number, source: string): WindowCounts {
     const sources = this.#windows.get(window) ?? new Map<string, WindowCounts>();
     this.#windows.set(window, sources);
     const counts = sources.get(source) ?? {};
--- a/packages/registry/src/lib/planMembership.test.ts
+++ b/packages/registry/src/lib/planMembership.test.ts
@@ -3,7 +3,7 @@
 import { createReplicaName, type MemberKind } from '@berylwood/consensus';
 import { planMembership, type MemberHealth } from './planMembership';
 
-const LIMITS = { replaceAfterMs: 3000, forgetAfterMs: 60_000 };
+const LIMITS = { replaceAfterMs: 3000, removeAfterMs: 60_000 };
 
 function member(name: string, kind: MemberKind = 'voter', silenceMs = 0): MemberHealth {
   return { replica: createReplicaName(name), kind, silenceMs };
--- a/packages/registry/src/lib/planMembership.ts
+++ b/packages/registry/src/lib/planMembership.ts
@@ -19,7 +19,7 @@
   /** Silence after which a voter is replaced by a learner. */
   readonly replaceAfterMs: number;
   /** Silence after which a learner is forgotten. */
-  readonly forgetAfterMs: number;
+  readonly removeAfterMs: number;
 }
 
 /**
@@ -45,6 +45,6 @@
   }
   const surplus = voters.length > target ? voters[voters.length - 1] : undefined;
   if (surplus) return { replica: surplus.replica, change: 'demote' };
-  const lost = learners.find((member) => isSilent(member, limits.forgetAfterMs));
-  return lost && { replica: lost.replica, change: 'remove' };
+  const expired = learners.find((member) => isSilent(member, limits.removeAfterMs));
+  return expired && { replica: expired.replica, change: 'remove' };
 }
--- a/packages/sidecar/src/lib/Sidecar.ts
+++ b/packages/sidecar/src/lib/Sidecar.ts
@@ -123,7 +123,7 @@
     const { settings, timer, journal } = this.#options;
     this.#server.accept<SidecarMessage, EntryMessage>(
       '/entry',
-      { timer, journal, schema: entryMessageSchema, gatherMs: GATHER_MS },
+      { timer, journal, schema: entryMessageSchema, batchIntervalMs: GATHER_MS },
       (link) => this.#welcome(link),
     );
     this.#address = await this.#server.listen(settings.listen);
