--- a/packages/entry/src/lib/Dispatcher.ts
+++ b/packages/entry/src/lib/Dispatcher.ts
@@ -211,7 +211,7 @@
       case 'hello':
         break;
       case 'load':
-        scheduler.reported({ endpoint, load: message.load, at: timer.now() });
+        scheduler.loadReported({ endpoint, load: message.load, at: timer.now() });
         this.decide();
         break;
       case 'cache':
--- a/packages/entry/src/lib/Recovery.ts
+++ b/packages/entry/src/lib/Recovery.ts
@@ -37,7 +37,7 @@
 
   /** A request was dispatched for the first time. */
   dispatched(): void {
-    this.#budget.arrived();
+    this.#budget.recordRequest();
   }
 
   decide(exchange: Exchange, { failure, crashed }: Setback, now: number): Remedy {
@@ -65,7 +65,7 @@
   #retry(exchange: Exchange, leftMs: number, crashed: boolean): number | undefined {
     const { order, writer, attempts } = exchange;
     if (!order.idempotent || !writer.isUntouched || attempts >= MAX_ATTEMPTS) return undefined;
-    const backoffMs = this.#budget.take(attempts, leftMs, this.#random);
+    const backoffMs = this.#budget.reserveRetry(attempts, leftMs, this.#random);
     if (backoffMs === undefined || !crashed) return backoffMs;
     return Math.max(backoffMs, SUSPECT_DELAY_MS * this.#random.between(0.5, 1.5));
   }
--- a/packages/gateway/src/lib/RepeatBudgets.ts
+++ b/packages/gateway/src/lib/RepeatBudgets.ts
@@ -38,7 +38,7 @@
   }
 
   arrived(pool: PoolName): void {
-    this.#of(pool).arrived();
+    this.#of(pool).recordRequest();
   }
 
   /** Whether a repeat is left. */
@@ -48,7 +48,7 @@
 
   /** Takes one repeat; the backoff before it in milliseconds, or undefined if none is left. */
   take(pool: PoolName, attempts: number, leftMs: number, random: Random): number | undefined {
-    return this.#of(pool).take(attempts, leftMs, random);
+    return this.#of(pool).reserveRetry(attempts, leftMs, random);
   }
 
   #of(pool: PoolName): RetryBudget {
--- a/packages/policy/bench/decisions.ts
+++ b/packages/policy/bench/decisions.ts
@@ -100,7 +100,7 @@
   const times = { ending: [] as number[], arrival: [] as number[], decision: [] as number[] };
   for (let i = 0; i < DECISIONS + WARM_UP; i += 1) {
     const now = 1 + i / 10;
-    if (i % 2_000 === 0) for (const report of createReports(now)) scheduler.reported(report);
+    if (i % 2_000 === 0) for (const report of createReports(now)) scheduler.loadReported(report);
     const index = random.below(running.length);
     const request = running[index] as string;
     running[index] = running.at(-1) as string;
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -2,7 +2,7 @@
 export type {
   Candidate,
   Decision,
-  Ending,
+  JobResult,
   Job,
   LoadReport,
   PoolFloor,
--- a/packages/policy/src/lib/FairScheduler.test.ts
+++ b/packages/policy/src/lib/FairScheduler.test.ts
@@ -39,7 +39,7 @@
 
 test('sends an urgent request to a full endpoint that runs lower work', () => {
   const scheduler = createScheduler();
-  scheduler.reported({
+  scheduler.loadReported({
     endpoint: asId('e1'),
     load: createLoad({ slots: 1, running: 1, credits: 0, runningTier: 5 }),
     at: 0,
@@ -61,10 +61,10 @@
 test('a late request gives way to one that can still meet its target', () => {
   const scheduler = createScheduler();
   const late = createJob({ targetAt: 100 });
-  const inTime = createJob({ arrivedAt: 500, targetAt: 5_000, workspace: asId('beta') });
+  const onTime = createJob({ arrivedAt: 500, targetAt: 5_000, workspace: asId('beta') });
   scheduler.offer(late, 0);
-  scheduler.offer(inTime, 500);
-  assert.deepEqual(requestsOf(scheduler.decide(500), 'dispatch'), [inTime.request]);
+  scheduler.offer(onTime, 500);
+  assert.deepEqual(requestsOf(scheduler.decide(500), 'dispatch'), [onTime.request]);
 });
 
 test('at the end of the longest wait the lowest tier is refused', () => {
@@ -74,7 +74,7 @@
   scheduler.decide(0);
   const waiting = createJob({ tier: 1, expiresAt: 1_000 });
   scheduler.offer(waiting, 0);
-  scheduler.reported({
+  scheduler.loadReported({
     endpoint: asId('e1'),
     load: createLoad({ slots: 1, running: 1, credits: 0, runningTier: 1 }),
     at: 500,
@@ -95,14 +95,14 @@
 
 test('passes a floor on, and refuses a tier only after the notice', () => {
   const [first, second] = [1, 2].map((seed) => {
-    const scheduler = new FairScheduler({ seed, floorNoticeMs: 100 });
+    const scheduler = new FairScheduler({ seed, floorDelayMs: 100 });
     scheduler.setCandidates(createCandidates(1, { slots: 1 }), 0);
     scheduler.offer(createJob({ tier: 1 }), 0);
     scheduler.decide(0);
     return scheduler;
   }) as [FairScheduler, FairScheduler];
   const load = createLoad({ slots: 1, running: 1, credits: 0, runningTier: 1 });
-  first.reported({ endpoint: asId('e1'), load, at: 900 });
+  first.loadReported({ endpoint: asId('e1'), load, at: 900 });
   const high = createJob({ tier: 1, expiresAt: 1_000 });
   const low = createJob({ tier: 4 });
   first.offer(high, 900);
@@ -112,7 +112,7 @@
   const [floor] = first.floors(1_000);
   assert.ok(floor);
   assert.deepEqual([floor.target, floor.tier], ['model', 1]);
-  second.floorLearned(floor, 1_020);
+  second.floorReceived(floor, 1_020);
   assert.equal(requestsOf(second.decide(1_020), 'refuse').length, 2);
   assert.deepEqual(requestsOf(first.decide(1_100), 'refuse'), [high.request]);
 });
@@ -125,15 +125,15 @@
   const letter = createJob({ class: 'letter', tier: 5 });
   scheduler.offer(letter, 0);
   for (let i = 0; i < 30; i += 1) scheduler.offer(createJob({ tier: 1 }), 0);
-  let sentBefore = 0;
+  let dispatchedBefore = 0;
   for (let now = 0; now < 1_500; now += 50) {
     const [request] = requestsOf(scheduler.decide(now), 'dispatch');
     assert.ok(request);
     if (request === letter.request) break;
-    sentBefore += 1;
+    dispatchedBefore += 1;
     scheduler.ended({ request, outcome: 'completed', answerTokens: 100 }, now + 1);
   }
-  assert.equal(sentBefore, 10);
+  assert.equal(dispatchedBefore, 10);
 });
 
 const SLOTS = 8;
@@ -141,7 +141,7 @@
 const DECODE_MS = 25;
 const PROMPT_TOKENS = 80;
 /** Requests a second that the endpoints of the exercise can serve, of 150 tokens each. */
-const CAPACITY = (SLOTS * ENDPOINTS * 1_000) / (150 * DECODE_MS + 35);
+const CAPACITY_RPS = (SLOTS * ENDPOINTS * 1_000) / (150 * DECODE_MS + 35);
 
 interface Stream {
   readonly workspace: string;
@@ -153,7 +153,7 @@
   readonly until?: number;
 }
 
-const exerciseClasses = {
+const simulationClasses = {
   guidance: createClass({ firstTokenMs: 1_400, maxWaitMs: 20_000 }),
   chat: createClass({ firstTokenMs: 2_000, maxWaitMs: 20_000, minimumShare: 0.02 }),
   letter: createClass({ firstTokenMs: 20_000, maxWaitMs: 60_000, minimumShare: 0.02 }),
@@ -164,7 +164,7 @@
   const arrivals: Arrival[] = [];
   for (const stream of streams) {
     const { firstTokenMs, maxWaitMs } =
-      exerciseClasses[stream.class as keyof typeof exerciseClasses];
+      simulationClasses[stream.class as keyof typeof simulationClasses];
     const mean = stream.answerTokens ?? 150;
     let at = 0;
     for (;;) {
@@ -189,7 +189,7 @@
   return arrivals.sort((a, b) => a.job.arrivedAt - b.job.arrivedAt);
 }
 
-function runExercise(
+function runSimulation(
   streams: readonly Stream[],
   endMs: number,
   options: Partial<ExerciseOptions> & { readonly entries?: number } = {},
@@ -202,7 +202,7 @@
       () => new FairLocalQueue({ slots: SLOTS, capacity: 64 }),
     ),
     slots: SLOTS,
-    configuration: createConfiguration({ classes: exerciseClasses }),
+    configuration: createConfiguration({ classes: simulationClasses }),
     ...options,
   });
   exercise.offer(createArrivals(streams, endMs, seed));
@@ -210,36 +210,36 @@
   return [...exercise.traces.values()];
 }
 
-const isAttained = ({ firstTokenAt = Infinity, job }: Trace) => firstTokenAt <= job.targetAt;
+const meetsTarget = ({ firstTokenAt = Infinity, job }: Trace) => firstTokenAt <= job.targetAt;
 
 const overload = (factor: number): Stream[] => [
-  { workspace: 'crew', class: 'guidance', tier: 1, requestsPerSecond: 0.4 * CAPACITY },
-  { workspace: 'shop', class: 'chat', tier: 2, requestsPerSecond: 0.4 * factor * CAPACITY },
-  { workspace: 'office', class: 'letter', tier: 5, requestsPerSecond: 0.4 * factor * CAPACITY },
+  { workspace: 'crew', class: 'guidance', tier: 1, requestsPerSecond: 0.4 * CAPACITY_RPS },
+  { workspace: 'shop', class: 'chat', tier: 2, requestsPerSecond: 0.4 * factor * CAPACITY_RPS },
+  { workspace: 'office', class: 'letter', tier: 5, requestsPerSecond: 0.4 * factor * CAPACITY_RPS },
 ];
 
 test('the top tier attains 99% at three times the capacity when its own demand fits', () => {
   for (const seed of [1, 2, 3]) {
-    const traces = runExercise(overload(3), 60_000, { seed });
+    const traces = runSimulation(overload(3), 60_000, { seed });
     const guidance = traces.filter(({ job }) => job.class === 'guidance' && job.targetAt <= 60_000);
-    const attained = guidance.filter(isAttained).length;
+    const attained = guidance.filter(meetsTarget).length;
     assert.ok(attained >= 0.99 * guidance.length, `${attained} of ${guidance.length}`);
   }
 });
 
 test('no class starves and no wait exceeds its limit, whatever the top tier does', () => {
   const streams = [
-    { workspace: 'crew', class: 'guidance', tier: 1, requestsPerSecond: 3 * CAPACITY },
+    { workspace: 'crew', class: 'guidance', tier: 1, requestsPerSecond: 3 * CAPACITY_RPS },
     { workspace: 'shop', class: 'chat', tier: 2, requestsPerSecond: 0.5 },
     { workspace: 'office', class: 'letter', tier: 5, requestsPerSecond: 0.5 },
   ];
-  const traces = runExercise(streams, 180_000);
-  for (const [name, { maxWaitMs }] of Object.entries(exerciseClasses)) {
-    const own = traces.filter(({ job }) => job.class === name);
-    const starts = own.flatMap(({ startedAt }) => startedAt ?? []).sort((a, b) => a - b);
+  const traces = runSimulation(streams, 180_000);
+  for (const [name, { maxWaitMs }] of Object.entries(simulationClasses)) {
+    const classTraces = traces.filter(({ job }) => job.class === name);
+    const starts = classTraces.flatMap(({ startedAt }) => startedAt ?? []).sort((a, b) => a - b);
     const gaps = [0, ...starts].map((at, i) => (starts[i] ?? 180_000) - at);
     assert.ok(Math.max(...gaps) <= maxWaitMs, `${name}: ${Math.max(...gaps)} ms without a start`);
-    for (const { job, startedAt, refusedAt } of own) {
+    for (const { job, startedAt, refusedAt } of classTraces) {
       const waitMs = Math.min(startedAt ?? Infinity, refusedAt ?? 180_000) - job.arrivedAt;
       assert.ok(waitMs <= maxWaitMs + 1_100, `${name}: waited ${waitMs} ms`);
     }
@@ -253,7 +253,7 @@
     class: 'chat',
     tier: 2,
     share: shares[workspace],
-    requestsPerSecond: (factor * CAPACITY * shares[workspace] * 150) / 6 / answerTokens,
+    requestsPerSecond: (factor * CAPACITY_RPS * shares[workspace] * 150) / 6 / answerTokens,
     answerTokens,
   });
   const streams = [
@@ -263,7 +263,7 @@
     stream('large', 2),
   ];
   for (const seed of [1, 2]) {
-    const traces = runExercise(streams, 400_000, { seed });
+    const traces = runSimulation(streams, 400_000, { seed });
     const work = new Map<string, number>();
     for (const { job, tokensDone } of traces) {
       const tokens = tokensDone > 0 ? PROMPT_TOKENS + tokensDone : 0;
@@ -271,8 +271,8 @@
     }
     const total = [...work.values()].reduce((sum, tokens) => sum + tokens, 0);
     for (const [workspace, share] of Object.entries(shares)) {
-      const part = (work.get(workspace) ?? 0) / ((total * share) / 6);
-      assert.ok(part >= 0.9, `${workspace} got ${part} of its share with seed ${seed}`);
+      const fraction = (work.get(workspace) ?? 0) / ((total * share) / 6);
+      assert.ok(fraction >= 0.9, `${workspace} got ${fraction} of its share with seed ${seed}`);
     }
   }
 });
@@ -280,32 +280,38 @@
 test('a slow endpoint costs hardly any request its target', () => {
   const slowness = (endpoint: number, now: number) => (endpoint === 0 && now > 10_000 ? 10 : 1);
   const streams: Stream[] = [
-    { workspace: 'shop', class: 'chat', tier: 2, requestsPerSecond: 0.6 * CAPACITY },
+    { workspace: 'shop', class: 'chat', tier: 2, requestsPerSecond: 0.6 * CAPACITY_RPS },
   ];
-  const traces = runExercise(streams, 90_000, { slowness }).filter(
+  const traces = runSimulation(streams, 90_000, { slowness }).filter(
     ({ job }) => job.targetAt <= 90_000,
   );
-  const late = traces.filter((trace) => !isAttained(trace)).length;
+  const late = traces.filter((trace) => !meetsTarget(trace)).length;
   assert.ok(late <= 0.02 * traces.length, `${late} of ${traces.length}`);
 });
 
 test('refuses early under overload, and a retry after the told time finds room', () => {
   const streams: Stream[] = [
-    { workspace: 'shop', class: 'chat', tier: 2, requestsPerSecond: 4 * CAPACITY, until: 60_000 },
+    {
+      workspace: 'shop',
+      class: 'chat',
+      tier: 2,
+      requestsPerSecond: 4 * CAPACITY_RPS,
+      until: 60_000,
+    },
   ];
-  const traces = runExercise(streams, 60_000, { entries: 1 });
-  const refused = traces.filter(({ refusedAt }) => refusedAt !== undefined);
-  const early = refused.filter(({ job, refusedAt = 0 }) => refusedAt < job.expiresAt - 10_000);
-  assert.ok(early.length >= 0.5 * refused.length, `${early.length} of ${refused.length}`);
-  const told = refused.map(({ retryAfterMs = 0 }) => retryAfterMs);
+  const traces = runSimulation(streams, 60_000, { entries: 1 });
+  const rejected = traces.filter(({ refusedAt }) => refusedAt !== undefined);
+  const early = rejected.filter(({ job, refusedAt = 0 }) => refusedAt < job.expiresAt - 10_000);
+  assert.ok(early.length >= 0.5 * rejected.length, `${early.length} of ${rejected.length}`);
+  const retryDelays = rejected.map(({ retryAfterMs = 0 }) => retryAfterMs);
   // The queue holds about one longest wait of work; it drains in that time without new arrivals.
-  assert.ok(told.every((retryAfterMs) => retryAfterMs > 0 && retryAfterMs <= 25_000));
-  const longest = Math.max(...told);
-  assert.ok(longest >= 15_000, `${longest}`);
+  assert.ok(retryDelays.every((retryAfterMs) => retryAfterMs > 0 && retryAfterMs <= 25_000));
+  const longestDelay = Math.max(...retryDelays);
+  assert.ok(longestDelay >= 15_000, `${longestDelay}`);
 });
 
 /** Random events at one entry; checks each refusal against a plain list of what waits. */
-function checkRefusals(steps: readonly (readonly [number, number, number])[]): void {
+function checkRejections(steps: readonly (readonly [number, number, number])[]): void {
   const scheduler = createScheduler(2, 2);
   const waiting = new Map<string, number>();
   const running: RequestId[] = [];
@@ -320,10 +326,10 @@
       scheduler.offer(job, now);
     }
     for (const decision of scheduler.decide(now)) {
-      const own = waiting.get(decision.request) as number;
+      const decidedTier = waiting.get(decision.request) as number;
       waiting.delete(decision.request);
       if (decision.type === 'dispatch') running.push(decision.request);
-      else assert.ok([...waiting.values()].every((other) => other <= own));
+      else assert.ok([...waiting.values()].every((other) => other <= decidedTier));
     }
     for (const [other, count] of scheduler.waitingByTier()) {
       assert.equal([...waiting.values()].filter((item) => item === other).length, count);
@@ -337,5 +343,5 @@
     fc.integer({ min: 1, max: 5 }),
     fc.integer({ min: 0, max: 150 }),
   );
-  fc.assert(fc.property(fc.array(step, { maxLength: 80 }), checkRefusals), { seed: 1 });
+  fc.assert(fc.property(fc.array(step, { maxLength: 80 }), checkRejections), { seed: 1 });
 });
--- a/packages/policy/src/lib/FairScheduler.ts
+++ b/packages/policy/src/lib/FairScheduler.ts
@@ -6,7 +6,7 @@
   type RequestId,
 } from '@berylwood/schema';
 import type { Code } from '@berylwood/base';
-import type { Candidate, Decision, Ending, Job, LoadReport, PoolFloor } from './Job';
+import type { Candidate, Decision, JobResult, Job, LoadReport, PoolFloor } from './Job';
 import { Scheduler } from './Scheduler';
 import { RunTable } from './fair/RunTable';
 import { Ticket } from './fair/Ticket';
@@ -23,7 +23,7 @@
    * Time in which a floor reaches the other entries, in milliseconds. A tier is refused only after
    * it, once for each lower tier. 0 when floors are not passed on. Default 0.
    */
-  readonly floorNoticeMs?: number;
+  readonly floorDelayMs?: number;
 }
 
 const DEFAULT_MAX_WAITING = 20_000;
@@ -35,7 +35,7 @@
 const POLL_MS = 200;
 
 /** Tickets that find no suitable endpoint before the others wait for the next decision. */
-const MAX_PARKED = 8;
+const MAX_SKIPPED = 8;
 
 /**
  * Tiers with a guaranteed minimum for each class, weighted fairness between workspaces counted in
@@ -56,7 +56,7 @@
 
   readonly #runs: RunTable;
 
-  readonly #floorNoticeMs: number;
+  readonly #floorDelayMs: number;
 
   #configuration: Configuration | undefined;
 
@@ -67,7 +67,7 @@
     this.#router = new Router(options);
     this.#runs = new RunTable(this.#router, this.#estimate);
     this.#maxWaiting = options.maxWaiting ?? DEFAULT_MAX_WAITING;
-    this.#floorNoticeMs = options.floorNoticeMs ?? 0;
+    this.#floorDelayMs = options.floorDelayMs ?? 0;
   }
 
   override configure(configuration: Configuration): void {
@@ -79,7 +79,7 @@
     this.#router.setCandidates(candidates, now);
   }
 
-  override reported(report: LoadReport): void {
+  override loadReported(report: LoadReport): void {
     this.#router.reported(report);
   }
 
@@ -97,28 +97,28 @@
 
   override withdraw(request: RequestId): void {
     const ticket = this.#tickets.get(request);
-    if (ticket) this.#take(ticket);
+    if (ticket) this.#remove(ticket);
   }
 
   override progressed(request: RequestId, answerTokens: number, now: number): void {
     this.#runs.progressed(request, answerTokens, now);
   }
 
-  override ended(ending: Ending, now: number): void {
-    this.#runs.ended(ending, now);
+  override ended(result: JobResult, now: number): void {
+    this.#runs.ended(result, now);
   }
 
   override floors(now: number): PoolFloor[] {
     const floors: PoolFloor[] = [];
     for (const pool of this.#pools.values()) {
-      const own = pool.floor.own(now);
-      if (own) floors.push({ ...pool.key, ...own });
+      const local = pool.floor.local(now);
+      if (local) floors.push({ ...pool.key, ...local });
     }
     return floors;
   }
 
-  override floorLearned(floor: PoolFloor, now: number): void {
-    this.#pools.get(floor).floor.learned(floor.tier, floor.ttlMs, now);
+  override floorReceived(floor: PoolFloor, now: number): void {
+    this.#pools.get(floor).floor.received(floor.tier, floor.ttlMs, now);
   }
 
   override decide(now: number): Decision[] {
@@ -131,11 +131,11 @@
         pool.drainRate.setSaturated(false, now);
         continue;
       }
-      this.#refuseBelowFloor(pool, now, decisions);
-      this.#sendToFree(pool, now, decisions);
-      this.#sendUrgent(pool, now, decisions);
-      this.#endWaits(pool, now, decisions);
-      if (!this.#router.pool(pool.key).hasOpen) this.#refuseUnserved(pool, now, decisions);
+      this.#rejectBelowFloor(pool, now, decisions);
+      this.#dispatchToFree(pool, now, decisions);
+      this.#dispatchUrgent(pool, now, decisions);
+      this.#resolveExpired(pool, now, decisions);
+      if (!this.#router.pool(pool.key).hasOpen) this.#rejectWithoutEndpoint(pool, now, decisions);
       pool.drainRate.setSaturated(pool.waiting > 0, now);
       if (checksOverload) this.#shedOverload(pool, now, decisions);
     }
@@ -163,24 +163,24 @@
   }
 
   /** Sends tickets to endpoints that have room; one that none may take is set aside meanwhile. */
-  #sendToFree(pool: WaitingPool, now: number, decisions: Decision[]): void {
+  #dispatchToFree(pool: WaitingPool, now: number, decisions: Decision[]): void {
     const endpoints = this.#router.pool(pool.key);
-    const parked: Ticket[] = [];
-    while (endpoints.hasFree && parked.length < MAX_PARKED) {
+    const skipped: Ticket[] = [];
+    while (endpoints.hasFree && skipped.length < MAX_SKIPPED) {
       const selection = pool.next(now);
       if (!selection) break;
       const endpoint = this.#router.select(selection.ticket.job, now);
       if (endpoint) this.#dispatch(pool, selection.ticket, endpoint, false, now, decisions);
       else {
-        this.#take(selection.ticket);
-        parked.push(selection.ticket);
+        this.#remove(selection.ticket);
+        skipped.push(selection.ticket);
       }
     }
-    for (const ticket of parked) this.#return(ticket, now);
+    for (const ticket of skipped) this.#requeue(ticket, now);
   }
 
   /** Sends tickets that would miss their target to full endpoints that run lower work. */
-  #sendUrgent(pool: WaitingPool, now: number, decisions: Decision[]): void {
+  #dispatchUrgent(pool: WaitingPool, now: number, decisions: Decision[]): void {
     for (const queue of pool.tiers) {
       for (;;) {
         const ticket = pool.mostUrgent(queue, now);
@@ -192,12 +192,12 @@
   }
 
   /** Ends the waits that have reached their limit: sends them on or refuses them. */
-  #endWaits(pool: WaitingPool, now: number, decisions: Decision[]): void {
+  #resolveExpired(pool: WaitingPool, now: number, decisions: Decision[]): void {
     for (const queue of [...pool.tiers].reverse()) {
       for (;;) {
         const ticket = queue.firstToExpire();
         if (!ticket || ticket.job.expiresAt > now) break;
-        if (!this.#endWait(pool, ticket, now, decisions)) break;
+        if (!this.#resolveOne(pool, ticket, now, decisions)) break;
       }
     }
   }
@@ -207,59 +207,60 @@
    * goes first to tickets of its tier or higher ones that can still meet their target. False when
    * it has to wait until the other entries have refused lower work.
    */
-  #endWait(pool: WaitingPool, ticket: Ticket, now: number, decisions: Decision[]): boolean {
+  #resolveOne(pool: WaitingPool, ticket: Ticket, now: number, decisions: Decision[]): boolean {
     while (ticket.isWaiting) {
-      const endpoint = this.#lastResort(pool, ticket, now);
+      const endpoint = this.#selectForExpired(pool, ticket, now);
       if (!endpoint) {
         const { expiresAt, tier } = ticket.job;
-        const isOverdue = now >= expiresAt + this.#noticeMs(pool, tier);
-        if (!this.#mayRefuse(pool, ticket, now) && !isOverdue) return false;
-        this.#refuse(pool, ticket, requestCodes.overloaded, now, decisions);
+        const isOverdue = now >= expiresAt + this.#propagationMs(pool, tier);
+        if (!this.#mayReject(pool, ticket, now) && !isOverdue) return false;
+        this.#rejectWithLower(pool, ticket, requestCodes.overloaded, now, decisions);
         return true;
       }
-      const first = pool.onTime(ticket.job.tier, now);
-      const isFit = first !== undefined && this.#router.mayUse(first.job, endpoint);
-      this.#dispatch(pool, isFit ? first : ticket, endpoint, true, now, decisions);
+      const onTime = pool.nextOnTime(ticket.job.tier, now);
+      const isEligible = onTime !== undefined && this.#router.mayUse(onTime.job, endpoint);
+      this.#dispatch(pool, isEligible ? onTime : ticket, endpoint, true, now, decisions);
     }
     return true;
   }
 
   /** Raises the floor to a ticket's tier; true when other entries have had time to follow. */
-  #mayRefuse(pool: WaitingPool, { job }: Ticket, now: number): boolean {
+  #mayReject(pool: WaitingPool, { job }: Ticket, now: number): boolean {
     pool.floor.raise(job.tier, now);
-    return pool.floor.hasHeld(job.tier, this.#noticeMs(pool, job.tier), now);
+    return pool.floor.hasHeldFor(job.tier, this.#propagationMs(pool, job.tier), now);
   }
 
   /** Time in which all entries refuse what is lower than the tier, in milliseconds. */
-  #noticeMs(pool: WaitingPool, tier: number): number {
-    return this.#floorNoticeMs * Math.max(1, pool.countLower(tier));
+  #propagationMs(pool: WaitingPool, tier: number): number {
+    return this.#floorDelayMs * Math.max(1, pool.countTiersBelow(tier));
   }
 
   /** Refuses what is lower than a tier that is shed here or in another entry. */
-  #refuseBelowFloor(pool: WaitingPool, now: number, decisions: Decision[]): void {
-    const floor = pool.floor.current(now);
-    while (floor !== undefined && pool.hasLower(floor)) {
-      const ticket = pool.lowest();
+  #rejectBelowFloor(pool: WaitingPool, now: number, decisions: Decision[]): void {
+    const floor = pool.floor.effective(now);
+    while (floor !== undefined && pool.hasWaitingBelow(floor)) {
+      const ticket = pool.nextToShed();
       if (!ticket || pool.isProtected(ticket, now)) return;
       const { tier } = ticket.job;
-      if (!pool.floor.hasHeld(tier, this.#floorNoticeMs * pool.countLower(tier), now)) return;
-      this.#refuseOne(pool, ticket, requestCodes.overloaded, now, decisions);
+      if (!pool.floor.hasHeldFor(tier, this.#floorDelayMs * pool.countTiersBelow(tier), now))
+        return;
+      this.#reject(pool, ticket, requestCodes.overloaded, now, decisions);
     }
   }
 
   /** Endpoint for a ticket that may wait no longer while lower work waits or runs. */
-  #lastResort(pool: WaitingPool, { job }: Ticket, now: number): EndpointId | undefined {
+  #selectForExpired(pool: WaitingPool, { job }: Ticket, now: number): EndpointId | undefined {
     const urgent = this.#router.selectUrgent(job, now);
     if (urgent) return urgent;
-    if (!pool.hasLower(job.tier) && !this.#router.mayHaveLower(job, now)) return undefined;
+    if (!pool.hasWaitingBelow(job.tier) && !this.#router.mayHaveLower(job, now)) return undefined;
     return this.#router.selectQueue(job, now);
   }
 
   /** Without any open endpoint, refuses what has reached its target time, the lowest tier first. */
-  #refuseUnserved(pool: WaitingPool, now: number, decisions: Decision[]): void {
+  #rejectWithoutEndpoint(pool: WaitingPool, now: number, decisions: Decision[]): void {
     for (const queue of [...pool.tiers].reverse()) {
       for (const ticket of queue.fair.listLate(now)) {
-        this.#refuse(pool, ticket, requestCodes.noEndpoint, now, decisions);
+        this.#rejectWithLower(pool, ticket, requestCodes.noEndpoint, now, decisions);
       }
     }
   }
@@ -267,40 +268,40 @@
   /** Refuses early what can not be served within its longest wait, the lowest tier first. */
   #shedOverload(pool: WaitingPool, now: number, decisions: Decision[]): void {
     while (pool.overloadedTier(now) !== undefined) {
-      const ticket = pool.lowest();
+      const ticket = pool.nextToShed();
       if (!ticket || pool.isProtected(ticket, now)) return;
-      if (!this.#mayRefuse(pool, ticket, now)) return;
-      this.#refuse(pool, ticket, requestCodes.overloaded, now, decisions);
+      if (!this.#mayReject(pool, ticket, now)) return;
+      this.#rejectWithLower(pool, ticket, requestCodes.overloaded, now, decisions);
     }
   }
 
   #shedExcess(now: number, decisions: Decision[]): void {
     while (this.#tickets.size > this.#maxWaiting) {
       const [fullest] = [...this.#pools.values()].sort((a, b) => b.waiting - a.waiting);
-      const ticket = fullest?.lowest();
+      const ticket = fullest?.nextToShed();
       if (!fullest || !ticket) return;
-      this.#refuse(fullest, ticket, requestCodes.overloaded, now, decisions);
+      this.#rejectWithLower(fullest, ticket, requestCodes.overloaded, now, decisions);
     }
   }
 
   /** Refuses a ticket, and before it all of lower tiers that wait for the same endpoints. */
-  #refuse(pool: WaitingPool, ticket: Ticket, code: Code, now: number, decisions: Decision[]): void {
-    while (pool.hasLower(ticket.job.tier)) {
-      const lower = pool.lowest() as Ticket;
-      this.#refuseOne(pool, lower, code, now, decisions);
-    }
-    this.#refuseOne(pool, ticket, code, now, decisions);
-  }
-
-  #refuseOne(
+  #rejectWithLower(
     pool: WaitingPool,
     ticket: Ticket,
     code: Code,
     now: number,
     decisions: Decision[],
   ): void {
+    while (pool.hasWaitingBelow(ticket.job.tier)) {
+      const lower = pool.nextToShed() as Ticket;
+      this.#reject(pool, lower, code, now, decisions);
+    }
+    this.#reject(pool, ticket, code, now, decisions);
+  }
+
+  #reject(pool: WaitingPool, ticket: Ticket, code: Code, now: number, decisions: Decision[]): void {
     const { request, tier } = ticket.job;
-    this.#take(ticket);
+    this.#remove(ticket);
     decisions.push({ type: 'refuse', request, code, retryAfterMs: pool.retryAfterMs(tier, now) });
   }
 
@@ -312,7 +313,7 @@
     now: number,
     decisions: Decision[],
   ): void {
-    this.#take(ticket);
+    this.#remove(ticket);
     pool.sent(ticket, now);
     this.#runs.started(ticket, endpoint, isUrgent, now);
     const { request } = ticket.job;
@@ -320,13 +321,13 @@
     decisions.push(isUrgent ? { ...decision, isUrgent } : decision);
   }
 
-  #take(ticket: Ticket): void {
+  #remove(ticket: Ticket): void {
     this.#tickets.delete(ticket.job.request);
     ticket.pool.remove(ticket);
   }
 
   /** Puts a ticket back that was taken; a new one, since queues drop the old one by its mark. */
-  #return({ job, pool, work, startBy }: Ticket, now: number): void {
+  #requeue({ job, pool, work, startBy }: Ticket, now: number): void {
     const ticket = new Ticket(job, pool, work, startBy);
     this.#tickets.set(job.request, ticket);
     pool.add(ticket, now, false);
--- a/packages/policy/src/lib/Job.ts
+++ b/packages/policy/src/lib/Job.ts
@@ -53,7 +53,7 @@
 }
 
 /** How a dispatched job has ended. @public */
-export interface Ending {
+export interface JobResult {
   readonly request: RequestId;
   readonly outcome: 'completed' | 'cancelled' | 'refused' | 'failed';
   readonly answerTokens: number;
--- a/packages/policy/src/lib/LeastLoadScheduler.test.ts
+++ b/packages/policy/src/lib/LeastLoadScheduler.test.ts
@@ -7,7 +7,7 @@
 test('takes the highest tier first and the least reported load', () => {
   const scheduler = new LeastLoadScheduler();
   scheduler.setCandidates(createCandidates(2, { slots: 1 }));
-  scheduler.reported({ endpoint: asId('e1'), load: createLoad({ running: 2 }), at: 0 });
+  scheduler.loadReported({ endpoint: asId('e1'), load: createLoad({ running: 2 }), at: 0 });
   const [low, high, lowest] = [2, 1, 3].map((tier) => createJob({ tier }));
   for (const job of [low, high, lowest]) if (job) scheduler.offer(job);
   assert.deepEqual(scheduler.decide(0), [
@@ -15,6 +15,6 @@
     { type: 'dispatch', request: low?.request, endpoint: 'e1' },
   ]);
   assert.deepEqual([...scheduler.waitingByTier()], [[3, 1]]);
-  const [refusal] = scheduler.decide(60_000);
-  assert.equal(refusal?.type, 'refuse');
+  const [rejection] = scheduler.decide(60_000);
+  assert.equal(rejection?.type, 'refuse');
 });
--- a/packages/policy/src/lib/LeastLoadScheduler.ts
+++ b/packages/policy/src/lib/LeastLoadScheduler.ts
@@ -5,7 +5,7 @@
   type RequestId,
 } from '@berylwood/schema';
 import { Assignments } from './Assignments';
-import type { Candidate, Decision, Ending, Job, LoadReport } from './Job';
+import type { Candidate, Decision, JobResult, Job, LoadReport } from './Job';
 import { PoolMap } from './PoolMap';
 import { Scheduler } from './Scheduler';
 
@@ -33,7 +33,7 @@
     this.#candidates = candidates;
   }
 
-  override reported({ endpoint, load }: LoadReport): void {
+  override loadReported({ endpoint, load }: LoadReport): void {
     this.#load.set(endpoint, (load.running + load.waiting) / Math.max(1, load.slots));
   }
 
@@ -55,8 +55,8 @@
     // Nothing is learned from progress.
   }
 
-  override ended(ending: Ending): void {
-    this.#assignments.end(ending.request);
+  override ended(result: JobResult): void {
+    this.#assignments.end(result.request);
   }
 
   override decide(now: number): Decision[] {
--- a/packages/policy/src/lib/RoundRobinScheduler.ts
+++ b/packages/policy/src/lib/RoundRobinScheduler.ts
@@ -1,6 +1,6 @@
 import { requestCodes, type Configuration, type RequestId } from '@berylwood/schema';
 import { Assignments } from './Assignments';
-import type { Candidate, Decision, Ending, Job, LoadReport } from './Job';
+import type { Candidate, Decision, JobResult, Job, LoadReport } from './Job';
 import { Scheduler } from './Scheduler';
 
 const RETRY_AFTER_MS = 1000;
@@ -23,7 +23,7 @@
     this.#candidates = candidates;
   }
 
-  override reported(_report: LoadReport): void {
+  override loadReported(_report: LoadReport): void {
     // Load makes no difference here.
   }
 
@@ -43,8 +43,8 @@
     // Nothing is learned from progress.
   }
 
-  override ended(ending: Ending): void {
-    this.#assignments.end(ending.request);
+  override ended(result: JobResult): void {
+    this.#assignments.end(result.request);
   }
 
   override decide(now: number): Decision[] {
--- a/packages/policy/src/lib/Scheduler.ts
+++ b/packages/policy/src/lib/Scheduler.ts
@@ -1,5 +1,5 @@
 import type { CacheEvent, Configuration, EndpointId, RequestId } from '@berylwood/schema';
-import type { Candidate, Decision, Ending, Job, LoadReport, PoolFloor } from './Job';
+import type { Candidate, Decision, JobResult, Job, LoadReport, PoolFloor } from './Job';
 
 /**
  * Decides in an entry which request goes where and when, and which is refused. It does no I/O and
@@ -14,7 +14,7 @@
   abstract setCandidates(candidates: readonly Candidate[], now: number): void;
 
   /** Takes in a load report. */
-  abstract reported(report: LoadReport): void;
+  abstract loadReported(report: LoadReport): void;
 
   /** Takes in hints on the prefix cache of an endpoint. */
   abstract cacheChanged(endpoint: EndpointId, events: readonly CacheEvent[], now: number): void;
@@ -29,7 +29,7 @@
   abstract progressed(request: RequestId, answerTokens: number, now: number): void;
 
   /** A dispatched request has left its endpoint. */
-  abstract ended(ending: Ending, now: number): void;
+  abstract ended(result: JobResult, now: number): void;
 
   /** Decisions due now. Each waiting request appears at most once. */
   abstract decide(now: number): Decision[];
@@ -46,7 +46,7 @@
   }
 
   /** Takes in another entry's floor; ignored by default. */
-  floorLearned(_floor: PoolFloor, _now: number): void {
+  floorReceived(_floor: PoolFloor, _now: number): void {
     // A scheduler that does not shed by tier has no use for it.
   }
 }
--- a/packages/policy/src/lib/fair/MovingAverage.ts
+++ b/packages/policy/src/lib/fair/MovingAverage.ts
@@ -19,9 +19,9 @@
     return this.#samples;
   }
 
-  observe(figure: number): void {
+  observe(sample: number): void {
     this.#samples += 1;
     // The first samples count as in a plain average, so that a wrong start is soon forgotten.
-    this.#value += Math.max(this.#smoothing, 1 / this.#samples) * (figure - this.#value);
+    this.#value += Math.max(this.#smoothing, 1 / this.#samples) * (sample - this.#value);
   }
 }
--- a/packages/policy/src/lib/fair/RunTable.ts
+++ b/packages/policy/src/lib/fair/RunTable.ts
@@ -1,5 +1,5 @@
 import type { EndpointId, RequestId } from '@berylwood/schema';
-import type { Ending } from '../Job';
+import type { JobResult } from '../Job';
 import type { Router } from '../routing/Router';
 import type { Ticket } from './Ticket';
 import type { WorkEstimate } from './WorkEstimate';
@@ -50,7 +50,7 @@
     const { job, pool } = run.ticket;
     if (run.answerTokens === 0) {
       if (!run.isUrgent && pool.isDelayed(now - run.sentAt)) this.#router.queued(run.endpoint);
-      pool.observeLead(now - run.sentAt);
+      pool.observeTtft(now - run.sentAt);
     } else {
       const msPerToken = (now - run.progressedAt) / (answerTokens - run.answerTokens);
       this.#router.observed(job, run.endpoint, msPerToken, now);
@@ -62,13 +62,13 @@
   }
 
   /** A job has left its endpoint. */
-  ended({ request, outcome, answerTokens }: Ending, now: number): void {
+  ended({ request, outcome, answerTokens }: JobResult, now: number): void {
     const run = this.#runs.get(request);
     if (!run) return;
     this.#runs.delete(request);
     const { job } = run.ticket;
-    const done = outcome === 'refused' ? 0 : job.promptTokens + answerTokens;
-    RunTable.#charge(run, done - run.charged);
+    const doneTokens = outcome === 'refused' ? 0 : job.promptTokens + answerTokens;
+    RunTable.#charge(run, doneTokens - run.charged);
     if (outcome === 'completed') {
       this.#estimate.completed(job, answerTokens);
       if (job.kind === 'service') this.#router.observed(job, run.endpoint, now - run.sentAt, now);
--- a/packages/policy/src/lib/fair/ShedFloor.ts
+++ b/packages/policy/src/lib/fair/ShedFloor.ts
@@ -17,9 +17,9 @@
   readonly #raisedUntil = new Float64Array(LOWEST_TIER + 1).fill(-Infinity);
 
   /** For each tier: since when, and until when, another entry has its floor there. */
-  readonly #learnedAt = new Float64Array(LOWEST_TIER + 1);
+  readonly #receivedAt = new Float64Array(LOWEST_TIER + 1);
 
-  readonly #learnedUntil = new Float64Array(LOWEST_TIER + 1).fill(-Infinity);
+  readonly #receivedUntil = new Float64Array(LOWEST_TIER + 1).fill(-Infinity);
 
   /** This entry is about to refuse requests of the tier. */
   raise(tier: number, now: number): void {
@@ -28,33 +28,36 @@
   }
 
   /** Another entry has its floor at the tier for a time in milliseconds. */
-  learned(tier: number, ttlMs: number, now: number): void {
-    if ((this.#learnedUntil[tier] as number) <= now) this.#learnedAt[tier] = now;
-    this.#learnedUntil[tier] = Math.max(this.#learnedUntil[tier] as number, now + ttlMs);
+  received(tier: number, ttlMs: number, now: number): void {
+    if ((this.#receivedUntil[tier] as number) <= now) this.#receivedAt[tier] = now;
+    this.#receivedUntil[tier] = Math.max(this.#receivedUntil[tier] as number, now + ttlMs);
   }
 
   /** Whether a floor at the tier or a higher one has been known for a time in milliseconds. */
-  hasHeld(tier: number, holdMs: number, now: number): boolean {
+  hasHeldFor(tier: number, holdMs: number, now: number): boolean {
     for (let higher = 1; higher <= tier; higher += 1) {
       const isRaised = (this.#raisedUntil[higher] as number) > now;
       if (isRaised && now - (this.#raisedAt[higher] as number) >= holdMs) return true;
-      const isLearned = (this.#learnedUntil[higher] as number) > now;
-      if (isLearned && now - (this.#learnedAt[higher] as number) >= holdMs) return true;
+      const isReceived = (this.#receivedUntil[higher] as number) > now;
+      if (isReceived && now - (this.#receivedAt[higher] as number) >= holdMs) return true;
     }
     return false;
   }
 
   /** Highest tier that this entry is shedding, with the time left in milliseconds. */
-  own(now: number): { readonly tier: number; readonly ttlMs: number } | undefined {
+  local(now: number): { readonly tier: number; readonly ttlMs: number } | undefined {
     const tier = this.#raisedUntil.findIndex((until) => until > now);
     if (tier < 0) return undefined;
     return { tier, ttlMs: (this.#raisedUntil[tier] as number) - now };
   }
 
   /** Tiers below this number are refused; undefined when nothing is shed. */
-  current(now: number): number | undefined {
+  effective(now: number): number | undefined {
     for (let tier = 1; tier <= LOWEST_TIER; tier += 1) {
-      const until = Math.max(this.#raisedUntil[tier] as number, this.#learnedUntil[tier] as number);
+      const until = Math.max(
+        this.#raisedUntil[tier] as number,
+        this.#receivedUntil[tier] as number,
+      );
       if (until > now) return tier;
     }
     return undefined;
--- a/packages/policy/src/lib/fair/WaitingPool.ts
+++ b/packages/policy/src/lib/fair/WaitingPool.ts
@@ -16,19 +16,19 @@
 const EXPIRING_MS = 1_000;
 
 /** The same as a part of the longest wait, for short ones. */
-const EXPIRING_PART = 0.25;
+const EXPIRING_FRACTION = 0.25;
 
 /** Assumed time from the dispatch to the first token before any was seen, in milliseconds. */
-const INITIAL_LEAD_MS = 200;
+const INITIAL_TTFT_MS = 200;
 
 /** Factor over the average up to which a time to the first token is counted. */
-const MAX_LEAD_GROWTH = 2;
+const MAX_TTFT_GROWTH = 2;
 
 /** Factor over the average from which a time to the first token shows a queue. */
 const DELAYED_FACTOR = 3;
 
 /** Part of a job's time to its target that the lead takes at most. */
-const MAX_LEAD_PART = 0.5;
+const MAX_LEAD_FRACTION = 0.5;
 
 const MIN_RETRY_AFTER_MS = 100;
 
@@ -57,7 +57,7 @@
   readonly drainRate = new DrainRate();
 
   /** Time from the dispatch to the first token, in milliseconds. */
-  readonly #leadMs = new MovingAverage(INITIAL_LEAD_MS);
+  readonly #ttftMs = new MovingAverage(INITIAL_TTFT_MS);
 
   readonly minimumShare = new MinimumShare();
 
@@ -88,41 +88,41 @@
   }
 
   /** A first token has come this long after the dispatch, in milliseconds. */
-  observeLead(leadMs: number): void {
+  observeTtft(ttftMs: number): void {
     // Clipped, since some of the time may have been spent in a sidecar's queue.
-    this.#leadMs.observe(Math.min(leadMs, MAX_LEAD_GROWTH * this.#leadMs.value));
+    this.#ttftMs.observe(Math.min(ttftMs, MAX_TTFT_GROWTH * this.#ttftMs.value));
   }
 
   /** Whether a first token took so long after the dispatch that it must have waited. */
-  isDelayed(leadMs: number): boolean {
-    return leadMs > DELAYED_FACTOR * this.#leadMs.value;
+  isDelayed(ttftMs: number): boolean {
+    return ttftMs > DELAYED_FACTOR * this.#ttftMs.value;
   }
 
   /** Time before its target at which the job must be sent, in milliseconds. */
   leadMsOf(job: Job): number {
-    return Math.min(this.#leadMs.value, MAX_LEAD_PART * (job.targetAt - job.arrivedAt));
+    return Math.min(this.#ttftMs.value, MAX_LEAD_FRACTION * (job.targetAt - job.arrivedAt));
   }
 
   /** Adds a ticket; `isNew` counts as a demand of its class. */
   add(ticket: Ticket, now: number, isNew = true): void {
-    this.#tierOf(ticket.job.tier).add(ticket);
-    this.#classOf(ticket.job.class).add(ticket);
+    this.#tierQueueOf(ticket.job.tier).add(ticket);
+    this.#classQueueOf(ticket.job.class).add(ticket);
     this.#waiting += 1;
-    if (isNew) this.minimumShare.demanded(ticket.job.class, ticket.work, now);
+    if (isNew) this.minimumShare.arrived(ticket.job.class, ticket.work, now);
   }
 
   remove(ticket: Ticket): void {
     ticket.isWaiting = false;
-    this.#tierOf(ticket.job.tier).remove(ticket);
-    this.#classOf(ticket.job.class).remove(ticket);
+    this.#tierQueueOf(ticket.job.tier).remove(ticket);
+    this.#classQueueOf(ticket.job.class).remove(ticket);
     this.#waiting -= 1;
   }
 
   /** The ticket to send next. */
   next(now: number): Selection | undefined {
-    const due = this.#due(now);
-    if (due) return { ticket: due, isGuaranteed: true };
-    const ticket = this.#byTier(now);
+    const guaranteed = this.#nextGuaranteed(now);
+    if (guaranteed) return { ticket: guaranteed, isGuaranteed: true };
+    const ticket = this.#nextByTier(now);
     return ticket && { ticket, isGuaranteed: false };
   }
 
@@ -131,13 +131,13 @@
     const { job, work } = ticket;
     this.drainRate.served(work, now);
     this.charge(ticket, work);
-    this.minimumShare.served(job.class, work, now, this.#classOf(job.class).waiting > 0);
+    this.minimumShare.served(job.class, work, now, this.#classQueueOf(job.class).waiting > 0);
   }
 
   /** Counts work against the workspace, in tokens; negative work corrects an estimate. */
   charge({ job }: Ticket, work: number): void {
-    this.#tierOf(job.tier).fair.charge(job.workspace, job.share, work);
-    this.#classOf(job.class).charge(job.workspace, job.share, work);
+    this.#tierQueueOf(job.tier).fair.charge(job.workspace, job.share, work);
+    this.#classQueueOf(job.class).charge(job.workspace, job.share, work);
   }
 
   /** Tickets of the tier that must be sent at once to meet their target, one for each call. */
@@ -147,7 +147,7 @@
   }
 
   /** The next ticket of the tier or a higher one among those that can still start in time. */
-  onTime(tier: number, now: number): Ticket | undefined {
+  nextOnTime(tier: number, now: number): Ticket | undefined {
     for (const queue of this.#tiers) {
       if (queue.tier > tier) return undefined;
       if (queue.mostUrgent(now)) return queue.fair.peek(now);
@@ -156,27 +156,27 @@
   }
 
   /** The youngest ticket of the lowest tier, of the workspace with the largest backlog. */
-  lowest(): Ticket | undefined {
+  nextToShed(): Ticket | undefined {
     for (let i = this.#tiers.length - 1; i >= 0; i -= 1) {
-      const ticket = (this.#tiers[i] as TierQueue).fair.youngest();
+      const ticket = (this.#tiers[i] as TierQueue).fair.nextToShed();
       if (ticket) return ticket;
     }
     return undefined;
   }
 
-  hasLower(tier: number): boolean {
+  hasWaitingBelow(tier: number): boolean {
     return this.#tiers.some((queue) => queue.tier > tier && queue.fair.waiting > 0);
   }
 
   /** Tiers lower than this one that the pool has ever had requests of. */
-  countLower(tier: number): number {
+  countTiersBelow(tier: number): number {
     return this.#tiers.filter((queue) => queue.tier > tier).length;
   }
 
   /** Whether the ticket is the last one of a class that is below its guaranteed minimum. */
   isProtected(ticket: Ticket, now: number): boolean {
     const { job, work } = ticket;
-    if (this.#classOf(job.class).waiting > 1) return false;
+    if (this.#classQueueOf(job.class).waiting > 1) return false;
     return this.minimumShare.isDue(job.class, work, now);
   }
 
@@ -187,7 +187,7 @@
     let backlog = 0;
     for (const { tier, fair } of this.#tiers) {
       backlog += fair.backlog;
-      const youngest = fair.youngest();
+      const youngest = fair.nextToShed();
       if (youngest && (backlog / rate) * 1000 > youngest.job.expiresAt - now) return tier;
     }
     return undefined;
@@ -215,7 +215,7 @@
   }
 
   /** The fairest ticket of a class that is below its guaranteed minimum while higher work waits. */
-  #due(now: number): Ticket | undefined {
+  #nextGuaranteed(now: number): Ticket | undefined {
     for (const [name, queue] of this.#classes) {
       if (queue.waiting === 0 || queue.waiting === this.#waiting) continue;
       const meanWork = queue.backlog / queue.waiting;
@@ -225,7 +225,7 @@
   }
 
   /** Highest tier first; a late ticket lets urgent ones of lower tiers go before it. */
-  #byTier(now: number): Ticket | undefined {
+  #nextByTier(now: number): Ticket | undefined {
     let late: Ticket | undefined;
     for (const queue of this.#tiers) {
       if (queue.fair.waiting === 0) continue;
@@ -243,7 +243,7 @@
     return late;
   }
 
-  #tierOf(tier: number): TierQueue {
+  #tierQueueOf(tier: number): TierQueue {
     const known = this.#tiers.find((queue) => queue.tier === tier);
     if (known) return known;
     const queue = new TierQueue(tier);
@@ -252,7 +252,7 @@
     return queue;
   }
 
-  #classOf(name: string): FairQueue<Ticket> {
+  #classQueueOf(name: string): FairQueue<Ticket> {
     const known = this.#classes.get(name);
     if (known) return known;
     const queue = new FairQueue<Ticket>();
@@ -263,6 +263,6 @@
 
 /** Whether the longest wait of a ticket is about to end. */
 function isExpiring({ job }: Ticket, now: number): boolean {
-  const lastMs = Math.min(EXPIRING_MS, EXPIRING_PART * (job.expiresAt - job.arrivedAt));
-  return now >= job.expiresAt - lastMs;
+  const expiringMs = Math.min(EXPIRING_MS, EXPIRING_FRACTION * (job.expiresAt - job.arrivedAt));
+  return now >= job.expiresAt - expiringMs;
 }
--- a/packages/policy/src/lib/limits/LimitDivider.ts
+++ b/packages/policy/src/lib/limits/LimitDivider.ts
@@ -8,9 +8,9 @@
 } from './LimitGrant';
 
 /** Part of a limit that is divided evenly whatever the use, so that a new burst finds something. */
-const EVEN_PART = 0.1;
+const EVEN_FRACTION = 0.1;
 
-interface EntryUse {
+interface EntryReport {
   readonly uses: ReadonlyMap<WorkspaceId, LimitUse>;
   readonly at: number;
 }
@@ -25,7 +25,7 @@
   /** In order of joining; the index is the entry's position. */
   #entries: readonly Entry[] = [];
 
-  readonly #reports = new Map<Entry, EntryUse>();
+  readonly #reports = new Map<Entry, EntryReport>();
 
   #configuration: Configuration | undefined;
 
@@ -42,9 +42,9 @@
   }
 
   /** Takes in an entry's use and returns its grants for the next term. */
-  reported(entry: Entry, uses: readonly LimitUse[], now: number): LimitGrants {
-    const known = new Map(uses.map((use) => [use.workspace, use]));
-    this.#reports.set(entry, { uses: known, at: now });
+  useReported(entry: Entry, uses: readonly LimitUse[], now: number): LimitGrants {
+    const usesByWorkspace = new Map(uses.map((use) => [use.workspace, use]));
+    this.#reports.set(entry, { uses: usesByWorkspace, at: now });
     const position = this.#entries.indexOf(entry);
     const entries = this.#entries.length;
     if (position < 0) return { grants: [], entries: Math.max(1, entries), position: 0 };
@@ -53,39 +53,39 @@
   }
 
   #grant(entry: Entry, workspace: WorkspaceId, now: number): LimitGrant {
-    const heard = this.#entries.filter((other) => this.#isHeard(other, now));
-    const part = heard.length / this.#entries.length;
-    const tokens = heard.map((other) => this.#useOf(other, workspace)?.tokensPerSecond ?? 0);
-    const index = heard.indexOf(entry);
-    const tokenShare = part * weightedPart(tokens, index);
-    return { workspace, tokenShare, requests: this.#requests(workspace, heard, index) };
+    const reporting = this.#entries.filter((other) => this.#isReporting(other, now));
+    const reportingFraction = reporting.length / this.#entries.length;
+    const tokens = reporting.map((other) => this.#useOf(other, workspace)?.tokensPerSecond ?? 0);
+    const index = reporting.indexOf(entry);
+    const tokenShare = reportingFraction * weightedFraction(tokens, index);
+    return { workspace, tokenShare, requests: this.#requests(workspace, reporting, index) };
   }
 
   /** Whole requests by the method of largest remainders, of what the unheard entries leave. */
-  #requests(workspace: WorkspaceId, heard: readonly Entry[], index: number): number {
+  #requests(workspace: WorkspaceId, reporting: readonly Entry[], index: number): number {
     const plan = this.#configuration?.customers[workspace]?.plan ?? '';
     const limit = this.#configuration?.plans[plan]?.concurrentRequests;
     if (limit === undefined) return Infinity;
     const reserved = this.#entries
       .map((other, position) => ({ other, position }))
-      .filter(({ other }) => !heard.includes(other))
+      .filter(({ other }) => !reporting.includes(other))
       .reduce(
         (sum, { position }) => sum + fallbackRequests(limit, this.#entries.length, position),
         0,
       );
-    const left = limit - reserved;
-    const wanted = heard.map((other) => this.#useOf(other, workspace)?.requests ?? 0);
-    const exact = wanted.map((_, i) => left * weightedPart(wanted, i));
-    const whole = exact.map(Math.floor);
-    const spare = left - whole.reduce((sum, value) => sum + value, 0);
+    const available = limit - reserved;
+    const demands = reporting.map((other) => this.#useOf(other, workspace)?.requests ?? 0);
+    const exact = demands.map((_, i) => available * weightedFraction(demands, i));
+    const integerParts = exact.map(Math.floor);
+    const leftover = available - integerParts.reduce((sum, value) => sum + value, 0);
     const byRemainder = exact
       .map((value, i) => ({ i, remainder: value - Math.floor(value) }))
       .sort((a, b) => b.remainder - a.remainder || a.i - b.i);
     const rank = byRemainder.findIndex(({ i }) => i === index);
-    return (whole[index] as number) + (rank < spare ? 1 : 0);
+    return (integerParts[index] as number) + (rank < leftover ? 1 : 0);
   }
 
-  #isHeard(entry: Entry, now: number): boolean {
+  #isReporting(entry: Entry, now: number): boolean {
     return now - (this.#reports.get(entry)?.at ?? -Infinity) < GRANT_TERM_MS;
   }
 
@@ -95,9 +95,9 @@
 }
 
 /** Part of a whole for one of several by weight, of which a small part is divided evenly. */
-function weightedPart(weights: readonly number[], index: number): number {
+function weightedFraction(weights: readonly number[], index: number): number {
   const sum = weights.reduce((total, weight) => total + weight, 0);
   const even = 1 / weights.length;
   if (sum === 0) return even;
-  return EVEN_PART * even + (1 - EVEN_PART) * ((weights[index] as number) / sum);
+  return EVEN_FRACTION * even + (1 - EVEN_FRACTION) * ((weights[index] as number) / sum);
 }
--- a/packages/policy/src/lib/limits/LimitGrant.ts
+++ b/packages/policy/src/lib/limits/LimitGrant.ts
@@ -31,6 +31,6 @@
 
 /** Part of a number of requests that one of several entries gets without a grant. @internal */
 export function fallbackRequests(limit: number, entries: number, position: number): number {
-  const whole = Math.floor(limit / entries);
-  return position < limit - whole * entries ? whole + 1 : whole;
+  const evenPart = Math.floor(limit / entries);
+  return position < limit - evenPart * entries ? evenPart + 1 : evenPart;
 }
--- a/packages/policy/src/lib/limits/RetryBudget.test.ts
+++ b/packages/policy/src/lib/limits/RetryBudget.test.ts
@@ -14,8 +14,8 @@
       for (const isArrival of arrivals) {
         if (isArrival) {
           arrived += 1;
-          budget.arrived();
-        } else if (budget.take(1, 1_000, random) !== undefined) retries += 1;
+          budget.recordRequest();
+        } else if (budget.reserveRetry(1, 1_000, random) !== undefined) retries += 1;
         assert.ok(retries <= 5 + 0.1 * arrived + 1e-6);
       }
     }),
@@ -26,7 +26,7 @@
 test('the backoff has jitter and ends before the deadline', () => {
   const budget = new RetryBudget({ burst: 1_000 });
   const random = new Random(1);
-  const backoffs = Array.from({ length: 100 }, () => budget.take(3, 60, random));
+  const backoffs = Array.from({ length: 100 }, () => budget.reserveRetry(3, 60, random));
   const taken = backoffs.filter((backoff) => backoff !== undefined);
   assert.ok(taken.every((backoff) => backoff >= 0 && backoff < 60));
   assert.ok(new Set(taken).size > 10);
--- a/packages/policy/src/lib/limits/RetryBudget.ts
+++ b/packages/policy/src/lib/limits/RetryBudget.ts
@@ -35,7 +35,7 @@
   }
 
   /** A new request has arrived. */
-  arrived(): void {
+  recordRequest(): void {
     this.#balance = Math.min(this.#options.burst, this.#balance + this.#options.share);
   }
 
@@ -43,14 +43,14 @@
    * Takes one retry from the budget and returns its backoff in milliseconds; undefined when the
    * budget is spent or the backoff ends after the deadline.
    * @param attempts attempts made so far, from 1
-   * @param leftMs time left until the deadline, in milliseconds
+   * @param remainingMs time left until the deadline, in milliseconds
    */
-  take(attempts: number, leftMs: number, random: Random): number | undefined {
+  reserveRetry(attempts: number, remainingMs: number, random: Random): number | undefined {
     if (this.#balance < 1) return undefined;
     const { baseMs, maxMs } = this.#options;
     const ceilingMs = Math.min(maxMs, baseMs * 2 ** (attempts - 1));
     const backoffMs = random.between(0, ceilingMs);
-    if (backoffMs >= leftMs) return undefined;
+    if (backoffMs >= remainingMs) return undefined;
     this.#balance -= 1;
     return backoffMs;
   }
--- a/packages/policy/src/lib/limits/TokenBucket.ts
+++ b/packages/policy/src/lib/limits/TokenBucket.ts
@@ -40,7 +40,7 @@
   }
 
   /** Takes tokens; a negative number gives them back. */
-  take(tokens: number, now: number): void {
+  consume(tokens: number, now: number): void {
     this.#level = Math.min(this.#capacity, this.level(now) - tokens);
   }
 
--- a/packages/policy/src/lib/limits/WorkspaceLimiter.test.ts
+++ b/packages/policy/src/lib/limits/WorkspaceLimiter.test.ts
@@ -29,13 +29,13 @@
   const divider = new LimitDivider<number>();
   const limiters = Array.from({ length: count }, () => new WorkspaceLimiter(0));
   divider.setEntries(limiters.map((_, i) => i));
-  for (const part of [divider, ...limiters]) part.configure(createLimits());
-  const exchange = (i: number, now: number) => {
+  for (const component of [divider, ...limiters]) component.configure(createLimits());
+  const renewGrants = (i: number, now: number) => {
     const limiter = limiters[i] as WorkspaceLimiter;
-    limiter.granted(divider.reported(i, limiter.report(now), now), now);
+    limiter.grantsReceived(divider.useReported(i, limiter.report(now), now), now);
   };
-  limiters.forEach((_, i) => exchange(i, 0));
-  return { limiters, exchange };
+  limiters.forEach((_, i) => renewGrants(i, 0));
+  return { limiters, exchange: renewGrants };
 }
 
 test('the traffic of one entry gets nearly the whole limit', () => {
@@ -63,7 +63,7 @@
 });
 
 /** Entries with random traffic that lose touch at random; each number is one entry's second. */
-function checkPartition(weights: readonly number[], cutOff: readonly boolean[]): void {
+function checkPartition(weights: readonly number[], partitioned: readonly boolean[]): void {
   const { limiters, exchange } = createEntries(weights.length);
   const random = new Random(weights.length);
   const running = weights.map(() => 0);
@@ -72,8 +72,9 @@
   const end = 10_000;
   for (let now = 0; now < end; now += STEP_MS) {
     limiters.forEach((limiter, i) => {
-      const isCutOff = cutOff[Math.floor(now / 1_000) % cutOff.length] === true && i % 2 === 0;
-      if (now % REPORT_MS === 0 && !isCutOff) exchange(i, now);
+      const isPartitioned =
+        partitioned[Math.floor(now / 1_000) % partitioned.length] === true && i % 2 === 0;
+      if (now % REPORT_MS === 0 && !isPartitioned) exchange(i, now);
       if (random.next() < 0.1 && (running[i] as number) > 0) {
         limiter.ended(alpha, 0, now);
         running[i] = (running[i] as number) - 1;
@@ -103,8 +104,8 @@
     minLength: 1,
     maxLength: 6,
   });
-  const cutOff = fc.array(fc.boolean(), { minLength: 1, maxLength: 10 });
-  fc.assert(fc.property(weights, cutOff, checkPartition), { seed: 1, numRuns: 50 });
+  const partitioned = fc.array(fc.boolean(), { minLength: 1, maxLength: 10 });
+  fc.assert(fc.property(weights, partitioned, checkPartition), { seed: 1, numRuns: 50 });
 });
 
 test('without any contact each entry keeps to an even part', () => {
--- a/packages/policy/src/lib/limits/WorkspaceLimiter.ts
+++ b/packages/policy/src/lib/limits/WorkspaceLimiter.ts
@@ -14,15 +14,15 @@
 const BURST_MS = 2_000;
 
 /** Time after which a request refused for the number of requests may try again, in milliseconds. */
-const BUSY_RETRY_MS = 1_000;
+const CONCURRENCY_RETRY_AFTER_MS = 1_000;
 
 /** State of one workspace in one entry. */
 interface Account {
   readonly bucket: TokenBucket;
   running: number;
   /** Since the last report. */
-  askedTokens: number;
-  mostRequests: number;
+  requestedTokens: number;
+  peakRequests: number;
 }
 
 /**
@@ -57,13 +57,13 @@
 
   /**
    * Takes in grants.
-   * @param askedAt time at which the entry asked for them, so that delays shorten their term
+   * @param requestedAt time at which the entry asked for them, so that delays shorten their term
    */
-  granted({ grants, entries, position }: LimitGrants, askedAt: number): void {
+  grantsReceived({ grants, entries, position }: LimitGrants, requestedAt: number): void {
     this.#grants = new Map(grants.map((grant) => [grant.workspace, grant]));
     this.#entries = Math.max(1, entries);
     this.#position = position;
-    this.#grantedUntil = askedAt + GRANT_TERM_MS;
+    this.#grantedUntil = requestedAt + GRANT_TERM_MS;
   }
 
   /**
@@ -73,11 +73,11 @@
   admit(workspace: WorkspaceId, work: number, now: number): Result<void, Failure> {
     const plan = this.#planOf(workspace);
     const account = this.#accountOf(workspace, plan, now);
-    account.askedTokens += work;
-    account.mostRequests = Math.max(account.mostRequests, account.running + 1);
-    if (account.running >= this.#requestsOf(workspace, plan, now)) {
+    account.requestedTokens += work;
+    account.peakRequests = Math.max(account.peakRequests, account.running + 1);
+    if (account.running >= this.#requestLimitOf(workspace, plan, now)) {
       return fail(requestCodes.limitReached, `${workspace} has its limit of requests running`, {
-        retryAfterMs: BUSY_RETRY_MS,
+        retryAfterMs: CONCURRENCY_RETRY_AFTER_MS,
       });
     }
     const waitMs = plan?.tokensPerSecond === undefined ? 0 : account.bucket.waitMs(now);
@@ -87,7 +87,7 @@
         retryAfterMs,
       });
     }
-    account.bucket.take(work, now);
+    account.bucket.consume(work, now);
     account.running += 1;
     return ok(undefined);
   }
@@ -96,7 +96,7 @@
   ended(workspace: WorkspaceId, correction: number, now: number): void {
     const account = this.#accounts.get(workspace);
     if (!account) return;
-    account.bucket.take(correction, now);
+    account.bucket.consume(correction, now);
     account.running = Math.max(0, account.running - 1);
   }
 
@@ -106,12 +106,16 @@
     this.#reportedAt = now;
     const uses: LimitUse[] = [];
     for (const [workspace, account] of this.#accounts) {
-      const { askedTokens, mostRequests, running } = account;
-      if (askedTokens > 0 || running > 0) {
-        uses.push({ workspace, tokensPerSecond: askedTokens / seconds, requests: mostRequests });
+      const { requestedTokens, peakRequests, running } = account;
+      if (requestedTokens > 0 || running > 0) {
+        uses.push({
+          workspace,
+          tokensPerSecond: requestedTokens / seconds,
+          requests: peakRequests,
+        });
       } else if (account.bucket.level(now) > 0) this.#accounts.delete(workspace);
-      account.askedTokens = 0;
-      account.mostRequests = running;
+      account.requestedTokens = 0;
+      account.peakRequests = running;
     }
     return uses;
   }
@@ -130,7 +134,7 @@
       return known;
     }
     const bucket = new TokenBucket(rate, capacity, now);
-    const account = { bucket, running: 0, askedTokens: 0, mostRequests: 0 };
+    const account = { bucket, running: 0, requestedTokens: 0, peakRequests: 0 };
     this.#accounts.set(workspace, account);
     return account;
   }
@@ -140,7 +144,7 @@
     return grant?.tokenShare ?? 1 / this.#entries;
   }
 
-  #requestsOf(workspace: WorkspaceId, plan: Plan | undefined, now: number): number {
+  #requestLimitOf(workspace: WorkspaceId, plan: Plan | undefined, now: number): number {
     const limit = plan?.concurrentRequests;
     if (limit === undefined) return Infinity;
     const grant = now < this.#grantedUntil ? this.#grants.get(workspace) : undefined;
--- a/packages/policy/src/lib/local/FairLocalQueue.test.ts
+++ b/packages/policy/src/lib/local/FairLocalQueue.test.ts
@@ -39,9 +39,9 @@
   const queue = createQueue(1, 1);
   const attempts = [1, 3, 2].map((tier) => createAttempt({ tier }));
   for (const attempt of attempts) queue.offer(attempt, 0);
-  const refused = queue.decide(0).filter(({ type }) => type === 'refuse');
+  const rejectedAttempts = queue.decide(0).filter(({ type }) => type === 'refuse');
   assert.deepEqual(
-    refused.map(({ attempt }) => attempt),
+    rejectedAttempts.map(({ attempt }) => attempt),
     [attempts[1]?.attempt],
   );
 });
@@ -102,9 +102,9 @@
         waiting.delete(id);
         suspended.delete(id);
       } else if (decision.type === 'refuse') {
-        const refused = waiting.get(id) as QueuedAttempt;
+        const rejected = waiting.get(id) as QueuedAttempt;
         waiting.delete(id);
-        assert.ok([...waiting.values()].every((other) => other.tier <= refused.tier));
+        assert.ok([...waiting.values()].every((other) => other.tier <= rejected.tier));
       } else {
         const victim = running.get(id) as QueuedAttempt;
         const others = [...waiting.values(), ...suspended.values()];
--- a/packages/policy/src/lib/local/FairLocalQueue.ts
+++ b/packages/policy/src/lib/local/FairLocalQueue.ts
@@ -14,7 +14,7 @@
 import { selectVictim } from './selectVictim';
 
 /** Waiting time after which lower work is preempted, in milliseconds: free slots come first. */
-const PATIENCE_MS = 20;
+const PREEMPTION_DELAY_MS = 20;
 
 const DEFAULT_MAX_PREEMPTIONS = 3;
 
@@ -60,7 +60,7 @@
     const item = new AttemptItem(attempt, share, now);
     this.#items.set(attempt.attempt, item);
     this.#queueOf(item.tier).add(item);
-    this.#minimumShare.demanded(attempt.class, item.work, now);
+    this.#minimumShare.arrived(attempt.class, item.work, now);
   }
 
   override withdraw(attempt: AttemptId): boolean {
@@ -98,9 +98,9 @@
 
   override decide(now: number): LocalDecision[] {
     return [
-      ...this.#refuseExpired(now),
+      ...this.#rejectExpired(now),
       ...this.#start(now),
-      ...this.#refuseExcess(now),
+      ...this.#rejectExcess(now),
       ...this.#preempt(now),
     ];
   }
@@ -109,8 +109,8 @@
     let next = Infinity;
     for (const item of this.#items.values()) {
       if (item.holdsSlot) continue;
-      const patientUntil = item.queuedAt + PATIENCE_MS;
-      if (patientUntil > now) next = Math.min(next, patientUntil);
+      const preemptsAt = item.queuedAt + PREEMPTION_DELAY_MS;
+      if (preemptsAt > now) next = Math.min(next, preemptsAt);
       if (item.isWaiting) next = Math.min(next, item.attempt.deadlineAt);
       const dueAt = this.#minimumShare.dueAt(item.attempt.class);
       if (dueAt > now) next = Math.min(next, dueAt);
@@ -145,18 +145,18 @@
     };
   }
 
-  #refuseExpired(now: number): LocalDecision[] {
+  #rejectExpired(now: number): LocalDecision[] {
     const expired = [...this.#items.values()].filter(
       (item) => item.isWaiting && now >= item.attempt.deadlineAt,
     );
-    return expired.map((item) => this.#refuse(item, now));
+    return expired.map((item) => this.#reject(item, now));
   }
 
   #start(now: number): LocalDecision[] {
     const decisions: LocalDecision[] = [];
     let free = this.#options.slots - this.#running().length;
     while (free > 0) {
-      const item = this.#takeDue(now) ?? this.#highest(now);
+      const item = this.#nextGuaranteed(now) ?? this.#nextByTier(now);
       if (!item) break;
       decisions.push(this.#startOne(item, now));
       free -= 1;
@@ -181,7 +181,7 @@
   }
 
   /** The oldest attempt of a class that has not had its guaranteed minimum. */
-  #takeDue(now: number): AttemptItem | undefined {
+  #nextGuaranteed(now: number): AttemptItem | undefined {
     const waiting = [...this.#items.values()].filter(({ holdsSlot }) => !holdsSlot);
     const due = waiting.find(({ attempt, work }) =>
       this.#minimumShare.isDue(attempt.class, work, now),
@@ -192,7 +192,7 @@
   }
 
   /** The next attempt of the highest tier that waits; suspended ones go first in their tier. */
-  #highest(now: number): AttemptItem | undefined {
+  #nextByTier(now: number): AttemptItem | undefined {
     let suspended: AttemptItem | undefined;
     for (const item of this.#items.values()) {
       if (item.phase !== 'suspended') continue;
@@ -205,20 +205,20 @@
     return suspended;
   }
 
-  #refuseExcess(now: number): LocalDecision[] {
+  #rejectExcess(now: number): LocalDecision[] {
     const decisions: LocalDecision[] = [];
     const tiers = [...this.#tiers.values()].reverse();
     let waiting = tiers.reduce((sum, queue) => sum + queue.waiting, 0);
     for (const queue of tiers) {
       while (waiting > this.#options.capacity && queue.waiting > 0) {
-        decisions.push(this.#refuse(queue.youngest() as AttemptItem, now));
+        decisions.push(this.#reject(queue.nextToShed() as AttemptItem, now));
         waiting -= 1;
       }
     }
     return decisions;
   }
 
-  #refuse(item: AttemptItem, now: number): LocalDecision {
+  #reject(item: AttemptItem, now: number): LocalDecision {
     this.#remove(item);
     const retryAfterMs = this.#retryAfterMs(item.tier, now);
     return {
@@ -243,14 +243,14 @@
   #preempt(now: number): LocalDecision[] {
     const decisions: LocalDecision[] = [];
     const running = this.#running();
-    let toCome = this.#options.slots - running.length;
-    toCome += running.filter(({ phase }) => phase === 'stopping').length;
+    let availableSlots = this.#options.slots - running.length;
+    availableSlots += running.filter(({ phase }) => phase === 'stopping').length;
     const waiting = [...this.#items.values()]
-      .filter((item) => !item.holdsSlot && now >= item.queuedAt + PATIENCE_MS)
+      .filter((item) => !item.holdsSlot && now >= item.queuedAt + PREEMPTION_DELAY_MS)
       .sort((a, b) => a.tier - b.tier);
     for (const item of waiting) {
-      toCome -= 1;
-      if (toCome >= 0) continue;
+      availableSlots -= 1;
+      if (availableSlots >= 0) continue;
       const victim = selectVictim(running, item.tier, this.#options.maxPreemptions);
       if (!victim) break;
       victim.enter('stopping');
--- a/packages/policy/src/lib/local/FifoLocalQueue.ts
+++ b/packages/policy/src/lib/local/FifoLocalQueue.ts
@@ -51,7 +51,7 @@
   override decide(now: number): LocalDecision[] {
     const decisions: LocalDecision[] = [];
     for (const [attempt, { deadlineAt }] of this.#waiting) {
-      if (now >= deadlineAt) decisions.push(this.#refuse(attempt));
+      if (now >= deadlineAt) decisions.push(this.#reject(attempt));
     }
     for (const [attempt, queued] of this.#waiting) {
       if (this.#running.size >= this.#options.slots) break;
@@ -60,7 +60,7 @@
       decisions.push({ type: 'start', attempt, isResumed: false });
     }
     const excess = [...this.#waiting.keys()].slice(this.#options.capacity);
-    return [...decisions, ...excess.map((attempt) => this.#refuse(attempt))];
+    return [...decisions, ...excess.map((attempt) => this.#reject(attempt))];
   }
 
   override nextAt(): number | undefined {
@@ -86,7 +86,7 @@
     };
   }
 
-  #refuse(attempt: AttemptId): LocalDecision {
+  #reject(attempt: AttemptId): LocalDecision {
     this.#waiting.delete(attempt);
     return { type: 'refuse', attempt, code: requestCodes.overloaded, retryAfterMs: RETRY_AFTER_MS };
   }
--- a/packages/policy/src/lib/queue/DrainRate.ts
+++ b/packages/policy/src/lib/queue/DrainRate.ts
@@ -40,7 +40,7 @@
   /** A request with this expected work, in tokens, has left the queue for an endpoint. */
   served(work: number, now: number): void {
     if (this.#saturatedSince === undefined) return;
-    this.#age(now);
+    this.#decay(now);
     this.#requests += 1;
     this.#work += work;
   }
@@ -50,12 +50,12 @@
     if (this.#saturatedSince === undefined) return undefined;
     if (now - this.#saturatedSince < MIN_MEASURED_MS) return undefined;
     if (this.#requests < MIN_REQUESTS) return undefined;
-    this.#age(now);
+    this.#decay(now);
     return (this.#work / this.#elapsedMs) * 1000;
   }
 
   /** Exponential forgetting of both the work and the time in which it was done. */
-  #age(now: number): void {
+  #decay(now: number): void {
     const passedMs = now - this.#measuredAt;
     if (passedMs <= 0) return;
     const kept = Math.exp(-passedMs / WINDOW_MS);
--- a/packages/policy/src/lib/queue/FairQueue.test.ts
+++ b/packages/policy/src/lib/queue/FairQueue.test.ts
@@ -76,5 +76,5 @@
   queue.add(createItem('large', 4, 300));
   queue.add(createItem('small', 1, 100, 1));
   queue.add(createItem('small', 1, 101, 2));
-  assert.equal(queue.youngest()?.name, 'small 101 2');
+  assert.equal(queue.nextToShed()?.name, 'small 101 2');
 });
--- a/packages/policy/src/lib/queue/FairQueue.ts
+++ b/packages/policy/src/lib/queue/FairQueue.ts
@@ -32,7 +32,7 @@
 }
 
 /** Mean items by which a workspace may fall behind because its items are late. */
-const MAX_DEBT_ITEMS = 8;
+const MAX_LAG_ITEMS = 8;
 
 /** Dead items in a list before it is compacted. */
 const COMPACT_AT = 64;
@@ -70,7 +70,7 @@
     const flow = this.#flowOf(item.workspace);
     flow.share = item.share;
     if (flow.waiting === 0) {
-      const earliest = this.#lowestVirtualTime() - this.#maxDebt(flow, item.work);
+      const earliest = this.#lowestVirtualTime() - this.#maxLag(flow, item.work);
       flow.virtualTime = Math.max(flow.virtualTime, earliest);
       this.#active.push(flow);
     }
@@ -105,7 +105,7 @@
       if (FairQueue.#onTimeHead(flow, now)) onTime = flow;
       else if (!late || flow.virtualTime < late.virtualTime) late = flow;
     }
-    const chosen = onTime && !(late && this.#isOwed(late, onTime)) ? onTime : late;
+    const chosen = onTime && !(late && this.#exceedsMaxLag(late, onTime)) ? onTime : late;
     return chosen && (FairQueue.#onTimeHead(chosen, now) ?? FairQueue.#lateHead(chosen));
   }
 
@@ -118,7 +118,7 @@
   }
 
   /** The youngest item of the workspace with the largest backlog for its share. */
-  youngest(): T | undefined {
+  nextToShed(): T | undefined {
     let largest: Flow<T> | undefined;
     for (const flow of this.#active) {
       if (!largest || flow.backlog / flow.share > largest.backlog / largest.share) largest = flow;
@@ -135,14 +135,14 @@
   }
 
   /** Whether a workspace with late items only has fallen too far behind another one. */
-  #isOwed(late: Flow<T>, onTime: Flow<T>): boolean {
+  #exceedsMaxLag(late: Flow<T>, onTime: Flow<T>): boolean {
     const meanWork = this.#backlog / this.#waiting;
-    return onTime.virtualTime - late.virtualTime > this.#maxDebt(late, meanWork);
+    return onTime.virtualTime - late.virtualTime > this.#maxLag(late, meanWork);
   }
 
   /** Virtual time by which a workspace may be behind the others, for the usual work of an item. */
-  #maxDebt({ share }: Flow<T>, work: number): number {
-    return (MAX_DEBT_ITEMS * work) / share;
+  #maxLag({ share }: Flow<T>, work: number): number {
+    return (MAX_LAG_ITEMS * work) / share;
   }
 
   /** Virtual time at which a workspace that has had nothing waiting joins the others. */
--- a/packages/policy/src/lib/queue/Heap.ts
+++ b/packages/policy/src/lib/queue/Heap.ts
@@ -21,7 +21,7 @@
 
   push(item: T): void {
     this.#items.push(item);
-    this.#rise(this.#items.length - 1);
+    this.#siftUp(this.#items.length - 1);
   }
 
   /** The live item with the lowest key; stays in the heap. */
@@ -52,10 +52,10 @@
     const last = this.#items.pop() as T;
     if (this.#items.length === 0) return;
     this.#items[0] = last;
-    this.#sink(0);
+    this.#siftDown(0);
   }
 
-  #rise(start: number): void {
+  #siftUp(start: number): void {
     const items = this.#items;
     const item = items[start] as T;
     const key = this.#key(item);
@@ -69,7 +69,7 @@
     items[index] = item;
   }
 
-  #sink(start: number): void {
+  #siftDown(start: number): void {
     const items = this.#items;
     const item = items[start] as T;
     const key = this.#key(item);
--- a/packages/policy/src/lib/queue/MinimumShare.test.ts
+++ b/packages/policy/src/lib/queue/MinimumShare.test.ts
@@ -7,7 +7,7 @@
   const shares = new MinimumShare();
   const letter = createClass({ minimumShare, maxWaitMs: 40_000 });
   shares.configure({ chat: createClass(), letter });
-  shares.demanded('letter', 100, 0);
+  shares.arrived('letter', 100, 0);
   return shares;
 }
 
--- a/packages/policy/src/lib/queue/MinimumShare.ts
+++ b/packages/policy/src/lib/queue/MinimumShare.ts
@@ -9,16 +9,16 @@
   /** Largest deficit kept: the work of a few requests of the class. */
   cap: number;
   /** Time of the latest demand; undefined before the first. */
-  demandedAt: number | undefined;
+  lastArrivalAt: number | undefined;
   /** Since when the class has had demand and no service; undefined when it has none. */
   unservedSince: number | undefined;
 }
 
 /** Requests' worth of guaranteed work that a class may save up. */
-const SAVED_REQUESTS = 2;
+const MAX_SAVED_REQUESTS = 2;
 
 /** Part of the longest wait after which a class without any service is due. */
-const UNSERVED_PART = 0.25;
+const UNSERVED_FRACTION = 0.25;
 
 const UNKNOWN_CLASS: Pick<RequestClass, 'minimumShare' | 'maxWaitMs'> = {
   minimumShare: 0.01,
@@ -39,18 +39,18 @@
   configure(classes: Readonly<Record<string, RequestClass>>): void {
     this.#classes = classes;
     for (const [name, account] of this.#accounts) {
-      this.#accounts.set(name, { ...account, ...this.#termsOf(name) });
+      this.#accounts.set(name, { ...account, ...this.#guaranteeOf(name) });
     }
   }
 
   /** A request of the class, with its expected work in tokens, has arrived. */
-  demanded(name: string, work: number, now: number): void {
+  arrived(name: string, work: number, now: number): void {
     const account = this.#accountOf(name);
-    account.demandedAt = now;
+    account.lastArrivalAt = now;
     account.unservedSince ??= now;
     account.cap = Math.max(
-      SAVED_REQUESTS * work,
-      Math.min(account.cap, SAVED_REQUESTS ** 2 * work),
+      MAX_SAVED_REQUESTS * work,
+      Math.min(account.cap, MAX_SAVED_REQUESTS ** 2 * work),
     );
   }
 
@@ -60,9 +60,9 @@
       if (!MinimumShare.#hasDemand(account, now)) continue;
       account.deficit = Math.min(account.cap, account.deficit + account.minimumShare * work);
     }
-    const own = this.#accountOf(name);
-    own.deficit = Math.max(0, own.deficit - work);
-    own.unservedSince = isStillWaiting ? now : undefined;
+    const servedAccount = this.#accountOf(name);
+    servedAccount.deficit = Math.max(0, servedAccount.deficit - work);
+    servedAccount.unservedSince = isStillWaiting ? now : undefined;
   }
 
   /** Whether the class's next request, with this expected work in tokens, is due now. */
@@ -80,14 +80,14 @@
   }
 
   static #dueAt(account: ClassAccount): number {
-    return (account.unservedSince ?? Infinity) + UNSERVED_PART * account.maxWaitMs;
+    return (account.unservedSince ?? Infinity) + UNSERVED_FRACTION * account.maxWaitMs;
   }
 
   static #hasDemand(account: ClassAccount, now: number): boolean {
-    return account.demandedAt !== undefined && now - account.demandedAt <= account.maxWaitMs;
+    return account.lastArrivalAt !== undefined && now - account.lastArrivalAt <= account.maxWaitMs;
   }
 
-  #termsOf(name: string): Pick<RequestClass, 'minimumShare' | 'maxWaitMs'> {
+  #guaranteeOf(name: string): Pick<RequestClass, 'minimumShare' | 'maxWaitMs'> {
     const { minimumShare, maxWaitMs } = this.#classes[name] ?? UNKNOWN_CLASS;
     return { minimumShare, maxWaitMs };
   }
@@ -96,10 +96,10 @@
     const known = this.#accounts.get(name);
     if (known) return known;
     const account: ClassAccount = {
-      ...this.#termsOf(name),
+      ...this.#guaranteeOf(name),
       deficit: 0,
       cap: 0,
-      demandedAt: undefined,
+      lastArrivalAt: undefined,
       unservedSince: undefined,
     };
     this.#accounts.set(name, account);
--- a/packages/policy/src/lib/routing/Router.ts
+++ b/packages/policy/src/lib/routing/Router.ts
@@ -1,6 +1,6 @@
 import { Random } from '@berylwood/base';
 import type { CacheEvent, DataCentreId, EndpointId } from '@berylwood/schema';
-import type { Candidate, Ending, Job, LoadReport } from '../Job';
+import type { Candidate, JobResult, Job, LoadReport } from '../Job';
 import { PoolMap, type PoolKey } from '../PoolMap';
 import { Endpoint } from './Endpoint';
 import { EndpointPool, isSuitable } from './EndpointPool';
@@ -157,7 +157,7 @@
   }
 
   /** A request that was sent to the endpoint has left it. */
-  ended(job: Job, id: EndpointId, outcome: Ending['outcome'], now: number): void {
+  ended(job: Job, id: EndpointId, outcome: JobResult['outcome'], now: number): void {
     const endpoint = this.#endpoints.get(id);
     if (!endpoint) return;
     endpoint.load.ended(job.request, outcome);
