--- a/packages/gateway/src/lib/Attempt.test.ts
+++ b/packages/gateway/src/lib/Attempt.test.ts
@@ -2,17 +2,17 @@
 import { createServer, type AddressInfo, type Socket } from 'node:net';
 import { test } from 'node:test';
 import { SystemTimer, asId } from '@berylwood/base';
-import { Attempt, type AnswerHead, type AttemptEnd } from './Attempt';
+import { Attempt, type ResponseHead, type AttemptEnd } from './Attempt';
 import { Endpoint } from './Endpoint';
-import { Wire, type AnswerFacts } from './Wire';
+import { Wire, type ResponseMetadata } from './Wire';
 
-const FACTS: AnswerFacts = {
+const RESPONSE_METADATA: ResponseMetadata = {
   attempt: undefined,
   isNotRun: false,
   isMisdirected: false,
   load: undefined,
   keepAliveMs: undefined,
-  closes: true,
+  closesConnection: true,
 };
 
 /** Takes all headers as they are. */
@@ -27,11 +27,11 @@
     return [];
   }
 
-  override readAnswer(): AnswerFacts {
-    return FACTS;
+  override readResponse(): ResponseMetadata {
+    return RESPONSE_METADATA;
   }
 
-  override answerHeaders(): string[] {
+  override responseHeaders(): string[] {
     return [];
   }
 
@@ -62,9 +62,9 @@
   return { endpoint, close: () => server.close() };
 }
 
-function send(endpoint: Endpoint): Promise<{ end: AttemptEnd; head?: AnswerHead; body: string }> {
+function send(endpoint: Endpoint): Promise<{ end: AttemptEnd; head?: ResponseHead; body: string }> {
   return new Promise((resolve) => {
-    let head: AnswerHead | undefined;
+    let head: ResponseHead | undefined;
     let body = '';
     const outgoing = {
       method: 'GET',
@@ -76,7 +76,7 @@
       rank: 0,
     };
     const listener = {
-      onHead: (given: AnswerHead) => {
+      onHead: (given: ResponseHead) => {
         head = given;
       },
       onData: (chunk: Buffer) => {
--- a/packages/gateway/src/lib/Attempt.ts
+++ b/packages/gateway/src/lib/Attempt.ts
@@ -5,8 +5,8 @@
 import type { Endpoint } from './Endpoint';
 import { usableIdleMs } from './EndpointAgent';
 import type { AttemptId } from './ids';
-import { CONNECT_MS } from './ReachProbe';
-import type { AnswerFacts, Wire } from './Wire';
+import { CONNECT_TIMEOUT_MS } from './ReachabilityProbe';
+import type { ResponseMetadata, Wire } from './Wire';
 
 /** A request as it is handed to an endpoint. @internal */
 export interface OutgoingRequest {
@@ -23,10 +23,10 @@
 }
 
 /** The beginning of an answer. @internal */
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   readonly rawHeaders: readonly string[];
-  readonly facts: AnswerFacts;
+  readonly metadata: ResponseMetadata;
   readonly isEventStream: boolean;
   /** Whether the answer states where it ends, other than by the end of its connection. */
   readonly hasLength: boolean;
@@ -40,13 +40,13 @@
 export type AttemptEnd =
   | { readonly type: 'complete' }
   | { readonly type: 'unsent'; readonly reason: string }
-  | { readonly type: 'refused'; readonly head: AnswerHead }
+  | { readonly type: 'refused'; readonly head: ResponseHead }
   | { readonly type: 'broken'; readonly reason: string };
 
 /** Receives the answer of one attempt. @internal */
 export interface AttemptListener {
   /** Called once with the head of an answer that is not a refusal. */
-  onHead(head: AnswerHead): void;
+  onHead(head: ResponseHead): void;
   /** Called with each part of the body; false asks to pause until `resume`. */
   onData(chunk: Buffer): boolean;
   /** Called exactly once, unless the attempt was cancelled. */
@@ -69,19 +69,19 @@
 
   readonly #timer: Timer;
 
-  #answer: IncomingMessage | undefined;
+  #response: IncomingMessage | undefined;
 
   #connectTimeout: Disposable | undefined;
 
   /** Whether bytes may have left for the endpoint. */
   #isSent = false;
 
-  #isRefusal = false;
+  #isRejection = false;
 
   /** Prompt tokens that count as not read yet. */
-  #unreadTokens: number;
+  #pendingPrefillTokens: number;
 
-  #isOver = false;
+  #isFinished = false;
 
   constructor(
     endpoint: Endpoint,
@@ -95,9 +95,9 @@
     this.#wire = parts.wire;
     this.#timer = parts.timer;
     this.startedAt = parts.timer.now();
-    this.#unreadTokens = outgoing.promptTokens;
-    endpoint.began();
-    endpoint.queue(outgoing.rank, this.#unreadTokens);
+    this.#pendingPrefillTokens = outgoing.promptTokens;
+    endpoint.attemptStarted();
+    endpoint.queue(outgoing.rank, this.#pendingPrefillTokens);
     const { host, port } = splitAddress(endpoint.listed.address);
     const { method, target, headers, body } = outgoing;
     this.#request = sendRequest({
@@ -121,27 +121,27 @@
   }
 
   /** Notes that the endpoint has read the prompt. */
-  promptRead(): void {
-    this.endpoint.queue(this.#outgoing.rank, -this.#unreadTokens);
-    this.#unreadTokens = 0;
+  prefillFinished(): void {
+    this.endpoint.queue(this.#outgoing.rank, -this.#pendingPrefillTokens);
+    this.#pendingPrefillTokens = 0;
   }
 
   /** Breaks the attempt off; the endpoint sees its connection closed. */
   cancel(): void {
-    if (this.#isOver) return;
+    if (this.#isFinished) return;
     this.#finish();
     this.endpoint.abandoned();
     this.#request.destroy();
   }
 
   /** Breaks the attempt off because of what its endpoint did. */
-  reject(reason: string): void {
+  abort(reason: string): void {
     this.#end({ type: 'broken', reason });
     this.#request.destroy();
   }
 
   resume(): void {
-    this.#answer?.resume();
+    this.#response?.resume();
   }
 
   #onSocket(socket: Socket): void {
@@ -150,7 +150,7 @@
       return;
     }
     socket.setNoDelay(true);
-    this.#connectTimeout = this.#timer.after(CONNECT_MS, () => {
+    this.#connectTimeout = this.#timer.after(CONNECT_TIMEOUT_MS, () => {
       this.#end({ type: 'unsent', reason: 'no connection in time' });
       this.#request.destroy();
     });
@@ -161,42 +161,42 @@
   }
 
   #onResponse(answer: IncomingMessage): void {
-    if (this.#isOver) {
+    if (this.#isFinished) {
       answer.destroy();
       return;
     }
-    this.endpoint.heard();
+    this.endpoint.seen();
     const { statusCode: status = 0, rawHeaders } = answer;
-    const facts = this.#wire.readAnswer(status, rawHeaders);
-    if (facts.attempt !== undefined && facts.attempt !== this.#outgoing.attempt) {
-      this.reject('answer of another request');
+    const metadata = this.#wire.readResponse(status, rawHeaders);
+    if (metadata.attempt !== undefined && metadata.attempt !== this.#outgoing.attempt) {
+      this.abort('answer of another request');
       return;
     }
-    this.#answer = answer;
-    this.#request.idleMs = facts.closes ? 0 : usableIdleMs(facts.keepAliveMs);
-    if (facts.load) this.endpoint.observe(facts.load);
+    this.#response = answer;
+    this.#request.idleMs = metadata.closesConnection ? 0 : usableIdleMs(metadata.keepAliveMs);
+    if (metadata.load) this.endpoint.observeLoad(metadata.load);
     const type = answer.headers['content-type'] ?? '';
     const isEventStream = type.startsWith('text/event-stream');
     const hasLength = 'content-length' in answer.headers || 'transfer-encoding' in answer.headers;
-    const head: AnswerHead = { status, rawHeaders, facts, isEventStream, hasLength };
-    this.#isRefusal = facts.isNotRun || facts.isMisdirected;
-    if (!this.#isRefusal) this.#listener.onHead(head);
+    const head: ResponseHead = { status, rawHeaders, metadata, isEventStream, hasLength };
+    this.#isRejection = metadata.isNotRun || metadata.isMisdirected;
+    if (!this.#isRejection) this.#listener.onHead(head);
     answer.on('data', (chunk: Buffer) => {
-      this.endpoint.heard();
-      if (this.#isRefusal || this.#isOver) return;
+      this.endpoint.seen();
+      if (this.#isRejection || this.#isFinished) return;
       if (!this.#listener.onData(chunk)) answer.pause();
     });
     const { socket } = answer;
     answer.on('end', () => {
       // The parser takes the reset of a connection, too, as the end of an answer without a length.
-      this.#onAnswerEnd(head, answer.complete && (hasLength || socket.readableEnded));
+      this.#onResponseEnd(head, answer.complete && (hasLength || socket.readableEnded));
     });
     answer.on('error', (error) => this.#end({ type: 'broken', reason: String(error) }));
     answer.on('close', () => this.#end({ type: 'broken', reason: 'answer cut off' }));
   }
 
-  #onAnswerEnd(head: AnswerHead, isComplete: boolean): void {
-    if (this.#isRefusal) this.#end({ type: 'refused', head });
+  #onResponseEnd(head: ResponseHead, isComplete: boolean): void {
+    if (this.#isRejection) this.#end({ type: 'refused', head });
     else if (isComplete) this.#end({ type: 'complete' });
     else this.#end({ type: 'broken', reason: 'answer cut off' });
   }
@@ -207,16 +207,16 @@
   }
 
   #end(end: AttemptEnd): void {
-    if (this.#isOver) return;
+    if (this.#isFinished) return;
     this.#finish();
     if (end.type === 'unsent') this.endpoint.unreachable();
     this.#listener.onEnd(end);
   }
 
   #finish(): void {
-    this.#isOver = true;
+    this.#isFinished = true;
     this.#connectTimeout?.[Symbol.dispose]();
-    this.promptRead();
-    this.endpoint.ended();
+    this.prefillFinished();
+    this.endpoint.attemptFinished();
   }
 }
--- a/packages/gateway/src/lib/FrontServer.ts
+++ b/packages/gateway/src/lib/CallerServer.ts
@@ -8,12 +8,12 @@
 const MAX_HEADER_BYTES = 64 * 1024;
 
 /** Interval at which slow headers are looked for, in milliseconds. */
-const CHECK_MS = 1000;
+const HEADER_CHECK_INTERVAL_MS = 1000;
 
 const DEFAULT_LIMITS = { headerTimeoutMs: 10_000, idleTimeoutMs: 15_000 };
 
 /** Takes the requests of callers. @internal */
-export class FrontServer extends HttpListener {
+export class CallerServer extends HttpListener {
   protected readonly server: Server;
 
   #open = 0;
@@ -23,7 +23,7 @@
     this.server = createServer(
       {
         maxHeaderSize: MAX_HEADER_BYTES,
-        connectionsCheckingInterval: CHECK_MS,
+        connectionsCheckingInterval: HEADER_CHECK_INTERVAL_MS,
         headersTimeout: DEFAULT_LIMITS.headerTimeoutMs,
         requestTimeout: 0,
         keepAliveTimeout: DEFAULT_LIMITS.idleTimeoutMs,
@@ -44,12 +44,12 @@
     return this.#open;
   }
 
-  limit({ headerTimeoutMs, idleTimeoutMs }: CallerLimits): void {
+  applyLimits({ headerTimeoutMs, idleTimeoutMs }: CallerLimits): void {
     this.server.headersTimeout = headerTimeoutMs;
     this.server.keepAliveTimeout = idleTimeoutMs;
   }
 
-  closeIdle(): void {
+  closeIdleConnections(): void {
     this.server.closeIdleConnections();
   }
 }
--- a/packages/gateway/src/lib/Endpoint.ts
+++ b/packages/gateway/src/lib/Endpoint.ts
@@ -2,31 +2,31 @@
 import { CircuitBreaker, URGENCY_LEVELS, type EnginePlace, type Place } from '@berylwood/policy';
 import type { EndpointWork } from '@berylwood/registry';
 import { EndpointAgent } from './EndpointAgent';
-import { ReachProbe } from './ReachProbe';
-import type { ListedEndpoint, StatedLoad } from './Wire';
+import { ReachabilityProbe } from './ReachabilityProbe';
+import type { ListedEndpoint, ReportedLoad } from './Wire';
 
 /** Time an endpoint is spared after a connection to it failed; it is probed by one request then. */
-const SPARE_MS = 1500;
-const MAX_SPARE_MS = 6000;
+const EJECTION_MS = 1500;
+const MAX_EJECTION_MS = 6000;
 
 /** Failures in a row after which an endpoint is spared though it takes connections. */
-const FAILURES_IN_A_ROW = 4;
+const CONSECUTIVE_FAILURES = 4;
 
 /** Share of a stated load of others that is still counted after this time, in milliseconds. */
 const LOAD_HALF_LIFE_MS = 600;
 
-function sumTo(tokens: readonly number[], rank: number): number {
+function sumUpToRank(tokens: readonly number[], rank: number): number {
   return tokens.slice(0, rank + 1).reduce((sum, count) => sum + count, 0);
 }
 
 /** Time for which the work that the leader told counts as known, in milliseconds. */
-const SHARED_LIFE_MS = 1000;
+const REMOTE_WORK_TTL_MS = 1000;
 
 /** Requests sent within this time may begin in any order, in milliseconds. */
-const OVERTAKEN_MS = 250;
+const OVERTAKE_MARGIN_MS = 250;
 
 /** What an engine's view depends on. */
-interface Viewer {
+interface EngineViewOptions {
   readonly dataCentre: string;
   /** Instances that share the endpoints. */
   readonly instances: number;
@@ -43,54 +43,58 @@
   #listed: ListedEndpoint;
 
   /** Opens on the first connection that fails. */
-  readonly #reach = new CircuitBreaker({ failures: 1, openMs: SPARE_MS, maxOpenMs: MAX_SPARE_MS });
+  readonly #connectBreaker = new CircuitBreaker({
+    failures: 1,
+    openMs: EJECTION_MS,
+    maxOpenMs: MAX_EJECTION_MS,
+  });
 
   /** Opens on answers that fail in a row. */
-  readonly #answers = new CircuitBreaker({
-    failures: FAILURES_IN_A_ROW,
-    openMs: SPARE_MS,
-    maxOpenMs: MAX_SPARE_MS,
+  readonly #responseBreaker = new CircuitBreaker({
+    failures: CONSECUTIVE_FAILURES,
+    openMs: EJECTION_MS,
+    maxOpenMs: MAX_EJECTION_MS,
   });
 
   readonly #timer: Timer;
 
-  readonly #probe: ReachProbe;
+  readonly #probe: ReachabilityProbe;
 
   /** Time at which anything last came from the endpoint. */
-  #heardAt = -Infinity;
+  #lastSeenAt = -Infinity;
 
   #inFlight = 0;
 
   /** Requests of other instances, as of the last stated load. */
-  #others = 0;
+  #remoteRequests = 0;
 
-  #othersAt = -Infinity;
+  #remoteRequestsAt = -Infinity;
 
   #isLeaving = false;
 
   /** By rank, prompt tokens sent from here that are not known to be read yet. */
-  readonly #unread: number[] = Array.from({ length: URGENCY_LEVELS }, () => 0);
+  readonly #pendingPrefillTokens: number[] = Array.from({ length: URGENCY_LEVELS }, () => 0);
 
   /** Work of all other instances, as the leader last told it. */
-  #shared = { tokens: [] as readonly number[], requests: 0, at: -Infinity };
+  #remoteWork = { tokens: [] as readonly number[], requests: 0, at: -Infinity };
 
   /** By rank, the latest time at which a request was sent that has begun to run since. */
-  readonly #begunSentAt = new Map<number, number>();
+  readonly #latestStartedSentAt = new Map<number, number>();
 
   /** Called when the endpoint is spared from now on, after failures. */
-  readonly #onSpared: (reason: string) => void;
+  readonly #onEjected: (reason: string) => void;
 
   constructor(
     listed: ListedEndpoint,
     maxConnections: number,
     timer: Timer,
-    onSpared: (reason: string) => void = () => {},
+    onEjected: (reason: string) => void = () => {},
   ) {
     this.#listed = listed;
     this.#timer = timer;
-    this.#onSpared = onSpared;
+    this.#onEjected = onEjected;
     this.agent = new EndpointAgent(maxConnections);
-    this.#probe = new ReachProbe(listed.address, timer);
+    this.#probe = new ReachabilityProbe(listed.address, timer);
   }
 
   get listed(): ListedEndpoint {
@@ -100,11 +104,13 @@
   /** Whether requests may be sent there now. */
   get isUsable(): boolean {
     const now = this.#timer.now();
-    return this.isStaying && this.#reach.allows(now) && this.#answers.allows(now);
+    return (
+      this.isInService && this.#connectBreaker.allows(now) && this.#responseBreaker.allows(now)
+    );
   }
 
   /** Whether the endpoint stays, spared or not. */
-  get isStaying(): boolean {
+  get isInService(): boolean {
     return !this.#listed.isDraining && !this.#isLeaving;
   }
 
@@ -114,7 +120,7 @@
   }
 
   /** Whether a connection is free for one more request. */
-  get hasRoom(): boolean {
+  get hasFreeConnection(): boolean {
     return this.#inFlight < this.agent.maxSockets;
   }
 
@@ -124,7 +130,7 @@
   }
 
   /** Sets the share of the endpoint's connections that this instance may use. */
-  allow(maxConnections: number): void {
+  setMaxConnections(maxConnections: number): void {
     this.agent.maxSockets = maxConnections;
     this.agent.maxFreeSockets = maxConnections;
   }
@@ -136,25 +142,27 @@
 
   /** Work on its way from this instance. */
   get ownWork(): EndpointWork {
-    const last = this.#unread.findLastIndex((tokens) => tokens > 0);
-    const tokens = this.#unread.slice(0, last + 1).map(Math.round);
+    const last = this.#pendingPrefillTokens.findLastIndex((tokens) => tokens > 0);
+    const tokens = this.#pendingPrefillTokens.slice(0, last + 1).map(Math.round);
     return [this.#listed.id, tokens, this.#inFlight];
   }
 
   /** Takes in the work that all other instances have on its way there. */
   share([, tokens, requests]: EndpointWork): void {
-    this.#shared = { tokens, requests, at: this.#timer.now() };
+    this.#remoteWork = { tokens, requests, at: this.#timer.now() };
   }
 
   /** Requests that run or wait there, from all instances. */
   requests(instances: number): number {
-    return this.#isShareFresh ? this.#inFlight + this.#shared.requests : this.#inFlight * instances;
+    return this.#isRemoteWorkFresh
+      ? this.#inFlight + this.#remoteWork.requests
+      : this.#inFlight * instances;
   }
 
   /** Notes prompt tokens that were sent, or with a negative number, that have been read. */
   queue(rank: number, tokens: number): void {
     const at = Math.min(URGENCY_LEVELS - 1, Math.max(0, rank));
-    this.#unread[at] = (this.#unread[at] ?? 0) + tokens;
+    this.#pendingPrefillTokens[at] = (this.#pendingPrefillTokens[at] ?? 0) + tokens;
   }
 
   /** The endpoint as a request of a rank sees it: what is less urgent waits behind it. */
@@ -163,13 +171,13 @@
     instances,
     rank,
     slots,
-  }: Viewer): EnginePlace & { readonly endpoint: Endpoint } {
-    const isFresh = this.#isShareFresh;
+  }: EngineViewOptions): EnginePlace & { readonly endpoint: Endpoint } {
+    const isFresh = this.#isRemoteWorkFresh;
     // Without news of the others, they are taken to do as this instance does.
-    const own = sumTo(this.#unread, rank) * (isFresh ? 1 : instances);
+    const own = sumUpToRank(this.#pendingPrefillTokens, rank) * (isFresh ? 1 : instances);
     return {
       key: this.#listed.id,
-      queuedTokens: own + (isFresh ? sumTo(this.#shared.tokens, rank) : 0),
+      queuedTokens: own + (isFresh ? sumUpToRank(this.#remoteWork.tokens, rank) : 0),
       running: this.requests(instances),
       slots,
       isNear: this.#listed.dataCentre === dataCentre,
@@ -178,8 +186,8 @@
   }
 
   view(dataCentre: string): Place & { readonly endpoint: Endpoint } {
-    const ageMs = this.#timer.now() - this.#othersAt;
-    const others = this.#others * 0.5 ** (ageMs / LOAD_HALF_LIFE_MS);
+    const ageMs = this.#timer.now() - this.#remoteRequestsAt;
+    const others = this.#remoteRequests * 0.5 ** (ageMs / LOAD_HALF_LIFE_MS);
     return {
       key: this.#listed.id,
       load: this.#inFlight + others,
@@ -189,19 +197,22 @@
     };
   }
 
-  began(): void {
+  attemptStarted(): void {
     this.#inFlight += 1;
-    this.#reach.sent();
-    this.#answers.sent();
+    this.#connectBreaker.sent();
+    this.#responseBreaker.sent();
   }
 
-  ended(): void {
+  attemptFinished(): void {
     this.#inFlight -= 1;
   }
 
   /** Notes that a request which was sent at a time has begun to run. */
-  begun(rank: number, sentAt: number): void {
-    this.#begunSentAt.set(rank, Math.max(sentAt, this.#begunSentAt.get(rank) ?? -Infinity));
+  executionStarted(rank: number, sentAt: number): void {
+    this.#latestStartedSentAt.set(
+      rank,
+      Math.max(sentAt, this.#latestStartedSentAt.get(rank) ?? -Infinity),
+    );
   }
 
   /**
@@ -209,36 +220,36 @@
    * the answer to an earlier one that is still silent is probably lost.
    */
   hasOvertaken(rank: number, sentAt: number): boolean {
-    return [...this.#begunSentAt].some(
-      ([other, at]) => other >= rank && at > sentAt + OVERTAKEN_MS,
+    return [...this.#latestStartedSentAt].some(
+      ([other, at]) => other >= rank && at > sentAt + OVERTAKE_MARGIN_MS,
     );
   }
 
   /** Takes in the load that the endpoint states with an answer. */
-  observe({ running, waiting }: StatedLoad): void {
-    this.#others = Math.max(0, running + waiting - this.#inFlight);
-    this.#othersAt = this.#timer.now();
+  observeLoad({ running, waiting }: ReportedLoad): void {
+    this.#remoteRequests = Math.max(0, running + waiting - this.#inFlight);
+    this.#remoteRequestsAt = this.#timer.now();
   }
 
   answered(): void {
-    this.#reach.succeeded();
-    this.#answers.succeeded();
+    this.#connectBreaker.succeeded();
+    this.#responseBreaker.succeeded();
   }
 
   /** Notes an answer that failed or broke off. */
   failed(): void {
-    this.#reach.abandoned();
-    this.#fail(this.#answers, 'answers fail');
+    this.#connectBreaker.abandoned();
+    this.#recordFailure(this.#responseBreaker, 'answers fail');
   }
 
   /** Notes that something has come from the endpoint. */
-  heard(): void {
-    this.#heardAt = this.#timer.now();
+  seen(): void {
+    this.#lastSeenAt = this.#timer.now();
   }
 
   /** Whether anything has come from the endpoint after a time. */
-  heardSince(time: number): boolean {
-    return this.#heardAt > time;
+  seenSince(time: number): boolean {
+    return this.#lastSeenAt > time;
   }
 
   /** Tries a new connection; if none is made, spares the endpoint and calls back. */
@@ -251,8 +262,8 @@
 
   /** Notes a connection that could not be made; the endpoint is spared from now on. */
   unreachable(): void {
-    this.#answers.abandoned();
-    this.#fail(this.#reach, 'no connection');
+    this.#responseBreaker.abandoned();
+    this.#recordFailure(this.#connectBreaker, 'no connection');
   }
 
   /** Notes a request that the endpoint turned away, full or as another incarnation. */
@@ -263,18 +274,18 @@
 
   /** Notes a request that ended without saying anything on the endpoint. */
   abandoned(): void {
-    this.#reach.abandoned();
-    this.#answers.abandoned();
+    this.#connectBreaker.abandoned();
+    this.#responseBreaker.abandoned();
   }
 
-  get #isShareFresh(): boolean {
-    return this.#timer.now() - this.#shared.at < SHARED_LIFE_MS;
+  get #isRemoteWorkFresh(): boolean {
+    return this.#timer.now() - this.#remoteWork.at < REMOTE_WORK_TTL_MS;
   }
 
-  #fail(breaker: CircuitBreaker, reason: string): void {
+  #recordFailure(breaker: CircuitBreaker, reason: string): void {
     const before: string = breaker.state;
     breaker.failed(this.#timer.now());
-    if (before !== 'open' && breaker.state === 'open') this.#onSpared(reason);
+    if (before !== 'open' && breaker.state === 'open') this.#onEjected(reason);
   }
 
   [Symbol.dispose](): void {
--- a/packages/gateway/src/lib/EndpointDirectory.ts
+++ b/packages/gateway/src/lib/EndpointDirectory.ts
@@ -9,7 +9,7 @@
 const CONNECTION_SHARE = 0.8;
 
 /** Connections that an instance may open in any case. */
-const LEAST_CONNECTIONS = 4;
+const MIN_CONNECTIONS = 4;
 
 /** Connections to an endpoint of a pool that no configuration describes. */
 const DEFAULT_MAX_CONNECTIONS = 64;
@@ -24,13 +24,13 @@
 
   #pools = new Map<PoolName, Endpoint[]>();
 
-  #readAt = -Infinity;
+  #loadedAt = -Infinity;
 
   /** Connections that an endpoint of a pool takes from all instances. */
   maxConnections: (pool: PoolName) => number | undefined = () => undefined;
 
   /** Called when the list is known for the first time. */
-  onKnown: () => void = () => {};
+  onLoaded: () => void = () => {};
 
   /** Instances that share the endpoints. */
   instances: () => number = () => 1;
@@ -40,16 +40,16 @@
     this.#journal = journal;
   }
 
-  get isKnown(): boolean {
-    return this.#readAt > -Infinity;
+  get isLoaded(): boolean {
+    return this.#loadedAt > -Infinity;
   }
 
   /** Time since the list was last read, in milliseconds. */
   get ageMs(): number {
-    return this.#timer.now() - this.#readAt;
+    return this.#timer.now() - this.#loadedAt;
   }
 
-  of(pool: PoolName): readonly Endpoint[] {
+  endpointsOf(pool: PoolName): readonly Endpoint[] {
     return this.#pools.get(pool) ?? [];
   }
 
@@ -81,7 +81,7 @@
       const limit = this.#connectionLimit(item.pool);
       const endpoint = known ?? this.#create(item, limit);
       endpoint.update(item);
-      endpoint.allow(limit);
+      endpoint.setMaxConnections(limit);
       after.set(key, endpoint);
     }
     for (const [key, endpoint] of before) {
@@ -91,10 +91,10 @@
       endpoint[Symbol.dispose]();
     }
     this.#endpoints = after;
-    this.#index();
-    const wasKnown = this.isKnown;
-    this.#readAt = this.#timer.now();
-    if (!wasKnown) this.onKnown();
+    this.#rebuildPools();
+    const wasLoaded = this.isLoaded;
+    this.#loadedAt = this.#timer.now();
+    if (!wasLoaded) this.onLoaded();
     if (changes.length === 0) return;
     this.#journal.record(gatewayEvents.listRead, { endpoints: listed.length, changes });
   }
@@ -110,7 +110,7 @@
     });
   }
 
-  #index(): void {
+  #rebuildPools(): void {
     this.#pools = new Map();
     for (const endpoint of this.#endpoints.values()) {
       const { pool } = endpoint.listed;
@@ -123,6 +123,6 @@
   #connectionLimit(pool: PoolName): number {
     const limit = this.maxConnections(pool) ?? DEFAULT_MAX_CONNECTIONS;
     const share = Math.floor((limit * CONNECTION_SHARE) / Math.max(1, this.instances()));
-    return Math.max(LEAST_CONNECTIONS, share);
+    return Math.max(MIN_CONNECTIONS, share);
   }
 }
--- a/packages/gateway/src/lib/ListReader.test.ts
+++ b/packages/gateway/src/lib/EndpointListReader.test.ts
@@ -3,7 +3,7 @@
 import { VirtualTimer, asId, createSilentJournal } from '@berylwood/base';
 import { ok } from 'neverthrow';
 import { EndpointDirectory } from './EndpointDirectory';
-import { ListReader } from './ListReader';
+import { EndpointListReader } from './EndpointListReader';
 import { PlatformCalls, type ListedEndpoint } from './Wire';
 
 function endpoint(id: string): ListedEndpoint {
@@ -17,7 +17,7 @@
   };
 }
 
-class CountedPlatform extends PlatformCalls {
+class CountingPlatform extends PlatformCalls {
   calls = 0;
 
   override async listEndpoints() {
@@ -34,9 +34,9 @@
   const timer = new VirtualTimer();
   const journal = createSilentJournal(timer);
   const directory = new EndpointDirectory(timer, journal);
-  const platform = new CountedPlatform();
-  const told: (readonly ListedEndpoint[])[] = [];
-  const reader = new ListReader({
+  const platform = new CountingPlatform();
+  const published: (readonly ListedEndpoint[])[] = [];
+  const reader = new EndpointListReader({
     platform,
     directory,
     timer,
@@ -44,12 +44,12 @@
     callsPerS: 42,
     instances: () => 7,
     isReader: () => isReader,
-    tell: (listed) => told.push(listed),
+    publish: (listed) => published.push(listed),
   });
-  return { timer, directory, platform, told, reader };
+  return { timer, directory, platform, published, reader };
 }
 
-async function pass(timer: VirtualTimer, ms: number): Promise<void> {
+async function advance(timer: VirtualTimer, ms: number): Promise<void> {
   for (let step = 0; step < ms / 100; step += 1) {
     timer.advance(100);
     await new Promise((resolve) => {
@@ -59,36 +59,36 @@
 }
 
 test('the reader reads about once a second and tells all others', async () => {
-  const { timer, platform, told, reader } = createReader(true);
+  const { timer, platform, published, reader } = createReader(true);
   reader.open();
-  await pass(timer, 10_000);
+  await advance(timer, 10_000);
   assert.ok(platform.calls >= 8 && platform.calls <= 12, `${platform.calls} calls`);
-  assert.equal(told.length, platform.calls);
+  assert.equal(published.length, platform.calls);
 });
 
 test('an instance that is told the list does not read it', async () => {
   const { timer, platform, directory, reader } = createReader(false);
-  reader.take([endpoint('e-2')]);
+  reader.receive([endpoint('e-2')]);
   reader.open();
   for (let second = 0; second < 10; second += 1) {
-    await pass(timer, 1000);
-    reader.take([endpoint('e-2')]);
+    await advance(timer, 1000);
+    reader.receive([endpoint('e-2')]);
   }
   assert.equal(platform.calls, 0);
-  assert.equal(directory.of(asId<'pool'>('pool')).length, 1);
+  assert.equal(directory.endpointsOf(asId<'pool'>('pool')).length, 1);
 });
 
 test('an instance that is told nothing reads well within the drain of an endpoint', async () => {
   const { timer, platform, directory, reader } = createReader(false);
-  reader.take([endpoint('e-2')]);
+  reader.receive([endpoint('e-2')]);
   reader.open();
-  await pass(timer, 2000);
+  await advance(timer, 2000);
   assert.equal(platform.calls, 1);
-  assert.equal(directory.of(asId<'pool'>('pool'))[0]?.listed.id, 'e-1');
+  assert.equal(directory.endpointsOf(asId<'pool'>('pool'))[0]?.listed.id, 'e-1');
 });
 
 test('what is no list of endpoints is refused', () => {
   const { directory, reader } = createReader(false);
-  reader.take([{ id: 'e-1' }]);
-  assert.equal(directory.isKnown, false);
+  reader.receive([{ id: 'e-1' }]);
+  assert.equal(directory.isLoaded, false);
 });
--- a/packages/gateway/src/lib/ListReader.ts
+++ b/packages/gateway/src/lib/EndpointListReader.ts
@@ -5,25 +5,25 @@
 import type { ListedEndpoint, PlatformCalls } from './Wire';
 
 /** Interval of reading while all is well, in milliseconds: a third of a short drain. */
-const READ_MS = 1000;
+const READ_INTERVAL_MS = 1000;
 
 /** Longest interval, in milliseconds: an endpoint must be left before its drain is over. */
-const MAX_READ_MS = 1500;
+const MAX_READ_INTERVAL_MS = 1500;
 
 /** Age of the list at which an instance that is told nothing reads by itself, in milliseconds. */
-const UNTOLD_MS = 1600;
+const STALE_LIST_MS = 1600;
 
 /** Interval of looking whether a list is due, in milliseconds; nothing is served before the first. */
-const CHECK_MS = 200;
+const CHECK_INTERVAL_MS = 200;
 
 /** Part of the platform's calls that reading may use; duties need the rest. */
-const CALL_SHARE = 0.5;
+const PLATFORM_CALL_SHARE = 0.5;
 
 /** Pages after which a list is taken as endless. */
 const MAX_PAGES = 200;
 
 /** @internal */
-export interface ListReaderOptions {
+export interface EndpointListReaderOptions {
   readonly platform: PlatformCalls;
   readonly directory: EndpointDirectory;
   readonly timer: Timer;
@@ -33,7 +33,7 @@
   /** Whether this instance reads for all others. */
   readonly isReader: () => boolean;
   /** Tells all others a list. */
-  readonly tell: (listed: readonly ListedEndpoint[]) => void;
+  readonly publish: (listed: readonly ListedEndpoint[]) => void;
 }
 
 /**
@@ -41,28 +41,28 @@
  * nothing for a while reads by itself. A list that can't be read in full is not used.
  * @internal
  */
-export class ListReader implements Disposable {
-  readonly #options: ListReaderOptions;
+export class EndpointListReader implements Disposable {
+  readonly #options: EndpointListReaderOptions;
 
   readonly #store = new DisposableStore();
 
   #pages = 1;
 
-  #triedAt = -Infinity;
+  #lastAttemptAt = -Infinity;
 
   #isReading = false;
 
-  constructor(options: ListReaderOptions) {
+  constructor(options: EndpointListReaderOptions) {
     this.#options = options;
   }
 
   open(): void {
-    this.#store.add(this.#options.timer.every(CHECK_MS, () => this.#check()));
+    this.#store.add(this.#options.timer.every(CHECK_INTERVAL_MS, () => this.#check()));
     this.#check();
   }
 
   /** Takes a list that another instance has read. */
-  take(value: unknown): void {
+  receive(value: unknown): void {
     const listed = listedEndpointsSchema.safeParse(value);
     if (listed.success) this.#options.directory.replace(listed.data as ListedEndpoint[]);
     else this.#options.journal.record(gatewayEvents.listFailed, { failure: listed.error.message });
@@ -74,18 +74,20 @@
 
   get #intervalMs(): number {
     const { callsPerS, instances, isReader } = this.#options;
-    if (isReader()) return READ_MS;
-    const fairMs = (1000 * this.#pages * instances()) / (callsPerS * CALL_SHARE);
-    return Math.min(MAX_READ_MS, Math.max(READ_MS, fairMs));
+    if (isReader()) return READ_INTERVAL_MS;
+    const callLimitedMs = (1000 * this.#pages * instances()) / (callsPerS * PLATFORM_CALL_SHARE);
+    return Math.min(MAX_READ_INTERVAL_MS, Math.max(READ_INTERVAL_MS, callLimitedMs));
   }
 
   #check(): void {
     const { directory, timer, isReader } = this.#options;
-    const sinceTryMs = timer.now() - this.#triedAt;
-    const isDue = directory.isKnown ? sinceTryMs >= this.#intervalMs : sinceTryMs >= CHECK_MS;
-    const isNeeded = isReader() || directory.ageMs >= UNTOLD_MS;
+    const sinceAttemptMs = timer.now() - this.#lastAttemptAt;
+    const isDue = directory.isLoaded
+      ? sinceAttemptMs >= this.#intervalMs
+      : sinceAttemptMs >= CHECK_INTERVAL_MS;
+    const isNeeded = isReader() || directory.ageMs >= STALE_LIST_MS;
     if (this.#isReading || !isDue || !isNeeded) return;
-    this.#triedAt = timer.now();
+    this.#lastAttemptAt = timer.now();
     this.#isReading = true;
     this.#read()
       .catch((error: unknown) => {
@@ -97,7 +99,7 @@
   }
 
   async #read(): Promise<void> {
-    const { directory, journal, isReader, tell } = this.#options;
+    const { directory, journal, isReader, publish } = this.#options;
     const listed: ListedEndpoint[] = [];
     let unreadable = 0;
     let token: string | undefined;
@@ -117,7 +119,7 @@
     if (this.#store.isDisposed) return;
     this.#pages = pages;
     directory.replace(listed);
-    if (isReader()) tell(listed);
+    if (isReader()) publish(listed);
     if (unreadable > 0) journal.record(gatewayEvents.listFailed, { unreadable, pages });
   }
 }
--- a/packages/gateway/src/lib/EventScanner.test.ts
+++ b/packages/gateway/src/lib/EventScanner.test.ts
@@ -11,11 +11,11 @@
   const bytes = Buffer.from(event(1) + event(2));
   const first = scanner.push(bytes.subarray(0, 30));
   assert.equal(first.bytes.toString(), event(1));
-  assert.equal(scanner.hasRest, true);
+  assert.equal(scanner.hasPartialEvent, true);
   const second = scanner.push(bytes.subarray(30));
   assert.equal(second.bytes.toString(), event(2));
   assert.equal(second.lastId, '2');
-  assert.equal(scanner.hasRest, false);
+  assert.equal(scanner.hasPartialEvent, false);
 });
 
 test('a stream cut at any byte yields the same events', () => {
@@ -30,7 +30,7 @@
 test('a resumed stream leaves out what was passed on and drops the unfinished event', () => {
   const scanner = new EventScanner();
   scanner.push(Buffer.from(`${event(1)}${event(2)}id: 3\nda`));
-  scanner.dropRest();
+  scanner.dropPartialEvent();
   const resumed = scanner.push(Buffer.from(event(2) + event(3)));
   assert.equal(resumed.bytes.toString(), event(3));
 });
--- a/packages/gateway/src/lib/EventScanner.ts
+++ b/packages/gateway/src/lib/EventScanner.ts
@@ -6,7 +6,7 @@
   readonly lastId: string | undefined;
 }
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY = Buffer.alloc(0);
 const LINE_FEED = 0x0a;
 
 /**
@@ -15,12 +15,12 @@
  * @internal
  */
 export class EventScanner {
-  #pending = NOTHING;
+  #pending = EMPTY;
 
   #lastId: string | undefined;
 
   /** Whether bytes of an unfinished event have arrived. */
-  get hasRest(): boolean {
+  get hasPartialEvent(): boolean {
     return this.#pending.length > 0;
   }
 
@@ -29,8 +29,8 @@
   }
 
   /** Drops the unfinished end, since another endpoint goes on. */
-  dropRest(): void {
-    this.#pending = NOTHING;
+  dropPartialEvent(): void {
+    this.#pending = EMPTY;
   }
 
   push(chunk: Buffer): ScannedEvents {
@@ -42,7 +42,7 @@
       from = end;
       if (!this.#isRepeated(event)) parts.push(event);
     }
-    this.#pending = from < bytes.length ? Buffer.from(bytes.subarray(from)) : NOTHING;
+    this.#pending = from < bytes.length ? Buffer.from(bytes.subarray(from)) : EMPTY;
     const whole = parts.length === 1 ? (parts[0] as Buffer) : Buffer.concat(parts);
     return { bytes: whole, lastId: this.#lastId };
   }
--- a/packages/gateway/src/lib/Exchange.ts
+++ b/packages/gateway/src/lib/Exchange.ts
@@ -1,25 +1,25 @@
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { Failure, Lifecycle, type Code } from '@berylwood/base';
 import { admits, retryAfterMs } from '@berylwood/policy';
-import { Answer } from './Answer';
-import { Attempt, type AnswerHead, type AttemptEnd, type AttemptListener } from './Attempt';
+import { ResponseRelay } from './ResponseRelay';
+import { Attempt, type ResponseHead, type AttemptEnd, type AttemptListener } from './Attempt';
 import { gatewayCodes } from './codes';
 import { composeAttempt } from './composeAttempt';
-import { mayRepeat } from './mayRepeat';
+import { canRetry } from './canRetry';
 import { describeRequest } from './describeRequest';
 import { gatewayEvents } from './events';
 import { exchangeTable, type ExchangeEvent } from './exchangeMachine';
 import type { GatewayContext } from './GatewayContext';
-import { Pace } from './Pace';
+import { ResponseTiming } from './ResponseTiming';
 import { placeRequest } from './placeRequest';
 import { readBody } from './readBody';
 import { resolveRequest, type ResolvedRequest } from './resolveRequest';
 import type { RequestRecord } from './RequestLog';
 import { sendFailure } from './sendFailure';
-import { SilenceWatch } from './SilenceWatch';
+import { StallDetector } from './StallDetector';
 
 /** Time in which a refused caller finds room, in milliseconds: about one answer of an engine. */
-const ROOM_IN_MS = 600;
+const RETRY_AFTER_BASE_MS = 600;
 
 /** One client attempt, from its arrival to its final answer. @internal */
 export class Exchange implements AttemptListener {
@@ -31,38 +31,38 @@
 
   readonly #arrivedAt: number;
 
-  readonly #life = new Lifecycle<ExchangeEvent, undefined>(exchangeTable);
+  readonly #lifecycle = new Lifecycle<ExchangeEvent, undefined>(exchangeTable);
 
   #resolved: ResolvedRequest | undefined;
 
   #body: Buffer = Buffer.alloc(0);
 
-  #endsAt = Infinity;
+  #deadlineAt = Infinity;
 
-  #endTimer: Disposable | undefined;
+  #deadlineTimer: Disposable | undefined;
 
-  #silence: SilenceWatch | undefined;
+  #detector: StallDetector | undefined;
 
   #attempt: Attempt | undefined;
 
-  #answer: Answer | undefined;
+  #relay: ResponseRelay | undefined;
 
   /** Wait of a request that came while the instance was starting. */
   #hold: Disposable | undefined;
 
-  readonly #tried = new Set<string>();
+  readonly #triedEndpoints = new Set<string>();
 
   #sends = 0;
 
-  #misses = 0;
+  #connectErrors = 0;
 
   /** Whether an endpoint may have run the request. */
   #mayHaveRun = false;
 
-  readonly #pace = new Pace();
+  readonly #timing = new ResponseTiming();
 
   /** Expected time until its prompt is read, when it was placed. */
-  #expectedMs = 0;
+  #expectedPrefillMs = 0;
 
   constructor(context: GatewayContext, request: IncomingMessage, response: ServerResponse) {
     this.#context = context;
@@ -72,148 +72,148 @@
   }
 
   get #leftMs(): number {
-    return this.#endsAt - this.#context.timer.now();
+    return this.#deadlineAt - this.#context.timer.now();
   }
 
   /** Reads the request and places it, once the instance knows enough. */
   start(): void {
     this.#response.on('close', () => this.#onCallerClosed());
     this.#response.on('drain', () => this.#attempt?.resume());
-    const { gate, wire } = this.#context;
-    if (gate.isHolding) {
+    const { startGate, wire } = this.#context;
+    if (startGate.isHolding) {
       const { deadlineMs } = wire.readRequest(this.#request.rawHeaders);
       const onTimeout = (): void => this.#onTimeout();
-      this.#hold = gate.wait({ onRelease: () => this.#resolve(), deadlineMs, onTimeout });
+      this.#hold = startGate.wait({ onRelease: () => this.#resolve(), deadlineMs, onTimeout });
     } else this.#resolve();
   }
 
   #resolve(): void {
     const resolved = resolveRequest(this.#context, this.#request);
     if (resolved.isErr()) {
-      this.#refuse(resolved.error);
+      this.#respondWithFailure(resolved.error);
       return;
     }
     this.#resolved = resolved.value;
-    const { facts, route, table, target } = resolved.value;
-    const givenMs = Math.min(facts.deadlineMs ?? Infinity, route.timeoutMs);
-    this.#endsAt = this.#arrivedAt + givenMs;
-    this.#endTimer = this.#context.timer.after(this.#leftMs, () => this.#onTimeout());
-    this.#context.budgets.arrived(target);
+    const { metadata, route, table, target } = resolved.value;
+    const allowedMs = Math.min(metadata.deadlineMs ?? Infinity, route.timeoutMs);
+    this.#deadlineAt = this.#arrivedAt + allowedMs;
+    this.#deadlineTimer = this.#context.timer.after(this.#leftMs, () => this.#onTimeout());
+    this.#context.budgets.recordRequest(target);
     readBody(this.#request, table.configuration.limits.maxBodyBytes, (body) => this.#onBody(body));
   }
 
-  onHead(head: AnswerHead): void {
-    if (!head.isEventStream) this.#silence?.[Symbol.dispose]();
-    if (!this.#answer) this.#answer = new Answer(this.#response, this.#context.wire);
-    if (this.#answer.isStarted && !head.isEventStream) {
-      this.#attempt?.reject(`stream not resumed, status ${head.status}`);
+  onHead(head: ResponseHead): void {
+    if (!head.isEventStream) this.#detector?.[Symbol.dispose]();
+    if (!this.#relay) this.#relay = new ResponseRelay(this.#response, this.#context.wire);
+    if (this.#relay.isHeadSent && !head.isEventStream) {
+      this.#attempt?.abort(`stream not resumed, status ${head.status}`);
       return;
     }
-    this.#answer.begin(head, this.#context.isStopping());
-    if (!head.isEventStream) this.#countRun();
+    this.#relay.setHead(head, this.#context.isStopping());
+    if (!head.isEventStream) this.#countStartedRequest();
   }
 
   onData(chunk: Buffer): boolean {
-    const answer = this.#answer as Answer;
-    const hadEvents = answer.hasEvents;
+    const answer = this.#relay as ResponseRelay;
+    const hadSentEvents = answer.hasSentEvents;
     const isWritable = answer.push(chunk);
-    if (answer.isStarted) {
-      this.#pace.mark(this.#context.timer.now());
-      this.#silence?.heard();
+    if (answer.isHeadSent) {
+      this.#timing.mark(this.#context.timer.now());
+      this.#detector?.eventReceived();
     }
-    if (answer.hasEvents && !hadEvents) {
-      this.#countRun();
-      this.#attempt?.promptRead();
-      this.#attempt?.endpoint.begun(this.#parts.resolved.rank, this.#attempt.startedAt);
+    if (answer.hasSentEvents && !hadSentEvents) {
+      this.#countStartedRequest();
+      this.#attempt?.prefillFinished();
+      this.#attempt?.endpoint.executionStarted(this.#parts.resolved.rank, this.#attempt.startedAt);
     }
-    if (answer.isStarted && this.#life.can('answer')) this.#move('answer');
+    if (answer.isHeadSent && this.#lifecycle.can('answer')) this.#transition('answer');
     return isWritable;
   }
 
   onEnd(end: AttemptEnd): void {
-    this.#silence?.[Symbol.dispose]();
+    this.#detector?.[Symbol.dispose]();
     switch (end.type) {
       case 'complete':
         this.#onComplete();
         break;
       case 'unsent':
-        this.#misses += 1;
+        this.#connectErrors += 1;
         this.#sends -= 1;
-        this.#noteFailure(end.type, end.reason);
-        this.#repeat(gatewayCodes.noEndpoint, end.reason);
+        this.#logAttemptFailure(end.type, end.reason);
+        this.#retryOrAbort(gatewayCodes.noEndpoint, end.reason);
         break;
       case 'refused':
-        this.#attempt?.endpoint.refused(end.head.facts.isMisdirected);
-        this.#noteFailure(end.type, `status ${end.head.status}`);
-        this.#repeat(gatewayCodes.overloaded, `refused by the endpoint (${end.head.status})`);
+        this.#attempt?.endpoint.refused(end.head.metadata.isMisdirected);
+        this.#logAttemptFailure(end.type, `status ${end.head.status}`);
+        this.#retryOrAbort(gatewayCodes.overloaded, `refused by the endpoint (${end.head.status})`);
         break;
       default:
         this.#mayHaveRun = true;
         this.#attempt?.endpoint.failed();
-        this.#noteFailure(end.type, end.reason);
-        this.#repeat(gatewayCodes.outcomeUnknown, end.reason);
+        this.#logAttemptFailure(end.type, end.reason);
+        this.#retryOrAbort(gatewayCodes.outcomeUnknown, end.reason);
     }
   }
 
   /** Takes the request away from an endpoint that has fallen silent, if it can be repeated. */
-  #onSilence(reason: string): void {
+  #onStall(reason: string): void {
     const { context, resolved } = this.#parts;
-    const hasBudget = context.budgets.has(resolved.target);
-    if (hasBudget && this.#mayRepeat(false)) this.#attempt?.reject(reason);
+    const hasBudget = context.budgets.hasBudget(resolved.target);
+    if (hasBudget && this.#canRetry(false)) this.#attempt?.abort(reason);
   }
 
   #onBody(body: Buffer | 'tooLarge' | 'gone'): void {
-    if (this.#life.isFinal) return;
+    if (this.#lifecycle.isFinal) return;
     if (body === 'gone') {
       this.#onCallerClosed();
     } else if (body === 'tooLarge') {
-      this.#refuse(new Failure(gatewayCodes.bodyTooLarge, 'the body is too large'));
+      this.#respondWithFailure(new Failure(gatewayCodes.bodyTooLarge, 'the body is too large'));
     } else {
       this.#body = body;
-      this.#move('read');
-      this.#place();
+      this.#transition('read');
+      this.#placeAndSend();
     }
   }
 
-  #place(): void {
+  #placeAndSend(): void {
     const { context, resolved } = this.#parts;
-    const placed = placeRequest(context, resolved, this.#tried);
-    if (placed === undefined) {
-      this.#giveUp(gatewayCodes.noEndpoint, 'no endpoint can take it');
+    const placement = placeRequest(context, resolved, this.#triedEndpoints);
+    if (placement === undefined) {
+      this.#abort(gatewayCodes.noEndpoint, 'no endpoint can take it');
       return;
     }
-    this.#expectedMs = placed.readMs;
-    if (this.#isTooLate(placed.readMs)) {
-      this.#giveUp(gatewayCodes.overloaded, 'it would begin too late');
+    this.#expectedPrefillMs = placement.prefillMs;
+    if (this.#shouldReject(placement.prefillMs)) {
+      this.#abort(gatewayCodes.overloaded, 'it would begin too late');
       return;
     }
-    const { endpoint, tokens } = placed;
-    this.#tried.add(endpoint.listed.id);
+    const { endpoint, tokens } = placement;
+    this.#triedEndpoints.add(endpoint.listed.id);
     this.#sends += 1;
-    this.#move('send');
+    this.#transition('send');
     const outgoing = composeAttempt(context, resolved, this.#request, {
       endpoint: endpoint.listed.id,
       leftMs: this.#leftMs,
       body: this.#body,
       tokens,
-      resumeAfter: this.#answer?.lastEventId,
+      resumeAfter: this.#relay?.lastEventId,
     });
     this.#attempt = new Attempt(endpoint, outgoing, this, context);
     const { timer } = context;
-    const onSilence = (reason: string): void => this.#onSilence(reason);
-    this.#silence = new SilenceWatch({ timer, attempt: this.#attempt, ...resolved, onSilence });
+    const onStall = (reason: string): void => this.#onStall(reason);
+    this.#detector = new StallDetector({ timer, attempt: this.#attempt, ...resolved, onStall });
   }
 
   /**
    * Whether a request that no endpoint has got yet should be turned away. Only the least urgent
    * route of a pool is: the queue at one engine says little of the room that others have.
    */
-  #isTooLate(readMs: number): boolean {
-    const { route, facts, table, target } = this.#parts.resolved;
+  #shouldReject(readMs: number): boolean {
+    const { route, metadata, table, target } = this.#parts.resolved;
     if (this.#sends > 0 || !table.isLeastUrgent(route, target)) return false;
     const { objectiveMs, timeoutMs } = route;
     const leftMs = this.#leftMs;
-    return !admits({ readMs, objectiveMs, timeoutMs, leftMs, givenMs: facts.deadlineMs });
+    return !admits({ readMs, objectiveMs, timeoutMs, leftMs, givenMs: metadata.deadlineMs });
   }
 
   get #parts(): { context: GatewayContext; resolved: ResolvedRequest } {
@@ -221,8 +221,8 @@
   }
 
   #onComplete(): void {
-    const answer = this.#answer as Answer;
-    if (answer.isEventStream && answer.hasRest) {
+    const answer = this.#relay as ResponseRelay;
+    if (answer.isEventStream && answer.hasPartialEvent) {
       this.onEnd({ type: 'broken', reason: 'stream ended within an event' });
       return;
     }
@@ -230,94 +230,94 @@
     if (isFailure) {
       this.#mayHaveRun = true;
       this.#attempt?.endpoint.failed();
-      this.#noteFailure('answer', `status ${answer.status}`);
-      if (this.#mayRepeat(false) && this.#tryRepeat()) return;
+      this.#logAttemptFailure('answer', `status ${answer.status}`);
+      if (this.#canRetry(false) && this.#tryRetry()) return;
     } else this.#attempt?.endpoint.answered();
     answer.finish();
-    this.#move('finish');
-    this.#end(answer.status, undefined, isFailure ? 'failed at the endpoint' : undefined);
+    this.#transition('finish');
+    this.#finish(answer.status, undefined, isFailure ? 'failed at the endpoint' : undefined);
   }
 
-  #mayRepeat(isNotRun: boolean): boolean {
+  #canRetry(isNotRun: boolean): boolean {
     const { kind, isResumable, maxAttempts } = this.#parts.resolved.route;
-    const tries = { sends: this.#sends, misses: this.#misses, leftMs: this.#leftMs };
-    return mayRepeat({ kind, isResumable, maxAttempts, isNotRun, ...tries });
+    const tries = { sends: this.#sends, connectErrors: this.#connectErrors, leftMs: this.#leftMs };
+    return canRetry({ kind, isResumable, maxAttempts, isNotRun, ...tries });
   }
 
   /** Sends the request to another endpoint, or ends it with a code that says what is known. */
-  #repeat(code: Code, reason: string): void {
-    if (this.#life.isFinal) return;
-    if (this.#mayRepeat(!this.#mayHaveRun) && this.#tryRepeat()) return;
-    this.#giveUp(code, reason);
+  #retryOrAbort(code: Code, reason: string): void {
+    if (this.#lifecycle.isFinal) return;
+    if (this.#canRetry(!this.#mayHaveRun) && this.#tryRetry()) return;
+    this.#abort(code, reason);
   }
 
   /** Places the request again if the budget has room; what reached no endpoint is free. */
-  #tryRepeat(): boolean {
+  #tryRetry(): boolean {
     const { context, resolved } = this.#parts;
     const isFree = this.#sends === 0;
     const { budgets, random, timer } = context;
     const delayMs = isFree ? 0 : budgets.take(resolved.target, this.#sends, this.#leftMs, random);
-    if (delayMs === undefined || !this.#move('retry')) return false;
-    this.#answer?.reset();
+    if (delayMs === undefined || !this.#transition('retry')) return false;
+    this.#relay?.reset();
     timer.after(delayMs, () => {
-      if (!this.#life.isFinal) this.#place();
+      if (!this.#lifecycle.isFinal) this.#placeAndSend();
     });
     return true;
   }
 
   /** Ends the request without a complete answer; a stream that has begun is cut. */
-  #giveUp(code: Code, reason: string): void {
-    if (this.#life.isFinal) return;
-    if (this.#answer?.isStarted) {
-      this.#move('fail');
+  #abort(code: Code, reason: string): void {
+    if (this.#lifecycle.isFinal) return;
+    if (this.#relay?.isHeadSent) {
+      this.#transition('fail');
       this.#response.destroy();
       const known = code.notRun === true ? gatewayCodes.outcomeUnknown : code;
-      this.#end(this.#answer.status, known.number, reason);
+      this.#finish(this.#relay.status, known.number, reason);
       return;
     }
     const isUnknown = code.notRun === true && this.#mayHaveRun;
-    this.#refuse(new Failure(isUnknown ? gatewayCodes.outcomeUnknown : code, reason));
+    this.#respondWithFailure(new Failure(isUnknown ? gatewayCodes.outcomeUnknown : code, reason));
   }
 
   #onTimeout(): void {
-    if (this.#life.isFinal) return;
+    if (this.#lifecycle.isFinal) return;
     const isSent = this.#attempt?.isSent ?? false;
     this.#attempt?.cancel();
     const code = isSent || this.#mayHaveRun ? gatewayCodes.answerLate : gatewayCodes.notRunInTime;
-    this.#giveUp(code, 'the time of the request has ended');
+    this.#abort(code, 'the time of the request has ended');
   }
 
   #onCallerClosed(): void {
-    if (this.#life.isFinal) return;
-    this.#move('leave');
+    if (this.#lifecycle.isFinal) return;
+    this.#transition('leave');
     this.#attempt?.cancel();
-    this.#end(gatewayCodes.callerGone.status, gatewayCodes.callerGone.number, 'caller gone');
+    this.#finish(gatewayCodes.callerGone.status, gatewayCodes.callerGone.number, 'caller gone');
   }
 
-  #refuse(failure: Failure): void {
-    this.#move('fail');
+  #respondWithFailure(failure: Failure): void {
+    this.#transition('fail');
     const { context } = this.#parts;
-    const mayReturn = failure.code.status === 503;
-    const retryMs = mayReturn
-      ? retryAfterMs(ROOM_IN_MS, Math.max(0, this.#leftMs), context.random)
+    const isRetryable = failure.code.status === 503;
+    const retryMs = isRetryable
+      ? retryAfterMs(RETRY_AFTER_BASE_MS, Math.max(0, this.#leftMs), context.random)
       : undefined;
     sendFailure(this.#response, failure, retryMs, context.isStopping() || !this.#request.complete);
-    this.#end(failure.code.status, failure.code.number, failure.message);
+    this.#finish(failure.code.status, failure.code.number, failure.message);
   }
 
-  #move(event: ExchangeEvent): boolean {
-    return this.#life.send(event);
+  #transition(event: ExchangeEvent): boolean {
+    return this.#lifecycle.send(event);
   }
 
-  #countRun(): void {
+  #countStartedRequest(): void {
     const { context, resolved } = this.#parts;
-    context.countRun(resolved.workspace?.name);
+    context.countStartedRequest(resolved.workspace?.name);
   }
 
-  #noteFailure(type: string, reason: string): void {
+  #logAttemptFailure(type: string, reason: string): void {
     const { context, resolved } = this.#parts;
     context.journal.record(gatewayEvents.attemptFailed, {
-      request: resolved.facts.attempt,
+      request: resolved.metadata.attempt,
       endpoint: this.#attempt?.endpoint.listed.id,
       type,
       reason,
@@ -326,10 +326,10 @@
     });
   }
 
-  #end(status: number, code: number | undefined, reason: string | undefined): void {
+  #finish(status: number, code: number | undefined, reason: string | undefined): void {
     this.#hold?.[Symbol.dispose]();
-    this.#endTimer?.[Symbol.dispose]();
-    this.#silence?.[Symbol.dispose]();
+    this.#deadlineTimer?.[Symbol.dispose]();
+    this.#detector?.[Symbol.dispose]();
     const { context } = this.#parts;
     const record: RequestRecord = {
       ...describeRequest(context, this.#resolved),
@@ -338,9 +338,9 @@
       code,
       reason,
       sends: this.#sends,
-      firstMs: this.#pace.firstAt && this.#pace.firstAt - this.#arrivedAt,
-      expectedMs: this.#expectedMs,
-      pauseMs: this.#pace.longestPauseMs,
+      firstMs: this.#timing.firstAt && this.#timing.firstAt - this.#arrivedAt,
+      expectedMs: this.#expectedPrefillMs,
+      pauseMs: this.#timing.longestPauseMs,
       totalMs: context.timer.now() - this.#arrivedAt,
     };
     if (code === undefined && reason === undefined) context.log.served(record);
--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -12,13 +12,13 @@
 import type { GatewaySettings } from '@berylwood/schema';
 import { EndpointDirectory } from './EndpointDirectory';
 import { gatewayEvents } from './events';
-import { FrontServer } from './FrontServer';
+import { CallerServer } from './CallerServer';
 import type { GatewayContext } from './GatewayContext';
 import type { WorkspaceName } from './ids';
-import { ListReader } from './ListReader';
+import { EndpointListReader } from './EndpointListReader';
 import { OperatorServer } from './OperatorServer';
 import { ReadinessServer } from './ReadinessServer';
-import { RepeatBudgets } from './RepeatBudgets';
+import { RetryBudgets } from './RetryBudgets';
 import { RequestLog } from './RequestLog';
 import { RoutingTable } from './RoutingTable';
 import { StartGate } from './StartGate';
@@ -40,15 +40,15 @@
 const ASSUMED_INSTANCES = 64;
 
 /** Time for the balancer to notice that the instance isn't ready, in milliseconds. */
-const NOTICE_MS = 2600;
+const BALANCER_NOTICE_MS = 2600;
 
 /** Time before the end of the grace in which what is left is cut, in milliseconds. */
-const CUT_BEFORE_MS = 500;
+const CUT_MARGIN_MS = 500;
 
-const TICK_MS = 100;
+const DRAIN_POLL_MS = 100;
 
 /** Interval at which instances tell each other their work, in milliseconds: a few engine steps. */
-const SHARE_MS = 100;
+const WORK_SHARE_INTERVAL_MS = 100;
 
 /** Routes requests of callers to the endpoints of pools, by a configuration from the registry. @public */
 export class Gateway extends Task {
@@ -61,7 +61,7 @@
   readonly #address: string;
 
   /** Name under which this incarnation's usage is counted. */
-  readonly #source: string;
+  readonly #usageSource: string;
 
   readonly #links = new LinkServer();
 
@@ -75,15 +75,15 @@
 
   readonly #mesh: Mesh;
 
-  readonly #gate: StartGate;
+  readonly #startGate: StartGate;
 
-  readonly #front: FrontServer;
+  readonly #callerServer: CallerServer;
 
-  readonly #readiness: ReadinessServer;
+  readonly #readinessServer: ReadinessServer;
 
-  readonly #operators: OperatorServer;
+  readonly #operatorServer: OperatorServer;
 
-  readonly #list: ListReader | undefined;
+  readonly #listReader: EndpointListReader | undefined;
 
   readonly #transport: PeerTransport;
 
@@ -92,7 +92,7 @@
   #isStopping = false;
 
   /** Whether new requests on kept connections are refused, as they might not end in time. */
-  #isRefusing = false;
+  #isRejecting = false;
 
   #wasReady = false;
 
@@ -102,13 +102,13 @@
     this.#options = options;
     this.#settings = settings;
     this.#address = `${settings.ip}:${settings.meshPort}`;
-    this.#source = `${settings.instance}/${incarnation}`;
+    this.#usageSource = `${settings.instance}/${incarnation}`;
     this.#clock = new FleetClock(timer);
     this.#transport = new PeerTransport({ timer, journal, locate: (replica) => replica });
     this.#registry = this.#createRegistry();
     this.#mesh = new Mesh({
       address: this.#address,
-      source: this.#source,
+      source: this.#usageSource,
       seeds: () => this.#seeds,
       registry: this.#registry,
       clock: this.#clock,
@@ -116,16 +116,16 @@
       timer,
       journal,
     });
-    this.#mesh.onConfiguration = (configuration) => this.#apply(configuration);
-    this.#gate = this.store.add(new StartGate(timer));
+    this.#mesh.onConfiguration = (configuration) => this.#applyConfiguration(configuration);
+    this.#startGate = this.store.add(new StartGate(timer));
     this.#directory = new EndpointDirectory(timer, journal);
-    this.#directory.onKnown = () => this.#noteReadiness();
+    this.#directory.onLoaded = () => this.#updateReadiness();
     this.#directory.instances = () => this.#instances;
     this.#directory.maxConnections = (pool) => this.#table?.findPool(pool)?.maxConnections;
-    this.#front = new FrontServer(this.#createContext());
-    this.#readiness = new ReadinessServer(wire.paths.readiness, () => this.#isReady());
-    this.#operators = new OperatorServer({ wire, mesh: this.#mesh, journal });
-    this.#list = platform && this.#createListReader(platform);
+    this.#callerServer = new CallerServer(this.#createContext());
+    this.#readinessServer = new ReadinessServer(wire.paths.readiness, () => this.#isReady());
+    this.#operatorServer = new OperatorServer({ wire, mesh: this.#mesh, journal });
+    this.#listReader = platform && this.#createListReader(platform);
   }
 
   override async start(): Promise<void> {
@@ -133,17 +133,17 @@
     this.#mesh.serve(this.#links);
     this.#transport.serve(this.#links);
     await this.#links.listen(this.#address);
-    await this.#readiness.listen(settings.readiness);
-    await this.#front.listen(settings.callers);
-    if (settings.operators) await this.#operators.listen(settings.operators);
-    this.#list?.open();
-    this.#mesh.onNotice = (value) => this.#list?.take(value);
+    await this.#readinessServer.listen(settings.readiness);
+    await this.#callerServer.listen(settings.callers);
+    if (settings.operators) await this.#operatorServer.listen(settings.operators);
+    this.#listReader?.open();
+    this.#mesh.onNotice = (value) => this.#listReader?.receive(value);
     this.#mesh.onWork = (work) => this.#directory.share(work);
     const share = (): void => this.#mesh.shareWork(this.#directory.ownWork());
-    this.store.add(this.#options.timer.every(SHARE_MS, share));
+    this.store.add(this.#options.timer.every(WORK_SHARE_INTERVAL_MS, share));
     await this.#mesh.open();
     await this.#registry?.open();
-    this.#reportUsage();
+    this.#startUsageReporter();
   }
 
   /** Takes over settings that were read again; only the seeds may change while it runs. */
@@ -157,23 +157,23 @@
   override async stop(): Promise<void> {
     const { timer, settings } = this.#options;
     this.#isStopping = true;
-    this.#noteReadiness();
+    this.#updateReadiness();
     this.#registry?.handOver().catch((error: unknown) => {
       this.#options.journal.record(gatewayEvents.handOverFailed, { error: String(error) });
     });
     const startedAt = timer.now();
-    const endsAt = startedAt + settings.graceS * 1000 - CUT_BEFORE_MS;
-    await timer.sleep(Math.min(NOTICE_MS, endsAt - startedAt));
-    this.#isRefusing = true;
-    this.#front.closeIdle();
-    while (this.#front.openRequests > 0 && timer.now() < endsAt) {
-      await timer.sleep(TICK_MS);
-      this.#front.closeIdle();
+    const endsAt = startedAt + settings.graceS * 1000 - CUT_MARGIN_MS;
+    await timer.sleep(Math.min(BALANCER_NOTICE_MS, endsAt - startedAt));
+    this.#isRejecting = true;
+    this.#callerServer.closeIdleConnections();
+    while (this.#callerServer.openRequests > 0 && timer.now() < endsAt) {
+      await timer.sleep(DRAIN_POLL_MS);
+      this.#callerServer.closeIdleConnections();
     }
-    this.#front.close();
-    this.#operators.close();
-    this.#readiness.close();
-    this.#list?.[Symbol.dispose]();
+    this.#callerServer.close();
+    this.#operatorServer.close();
+    this.#readinessServer.close();
+    this.#listReader?.[Symbol.dispose]();
     this.#mesh[Symbol.dispose]();
     this.#registry?.[Symbol.dispose]();
     this.#transport[Symbol.dispose]();
@@ -223,19 +223,19 @@
       random: new Random(Math.floor(Math.random() * 2 ** 31)),
       log: new RequestLog(journal, timer, metrics),
       directory: this.#directory,
-      gate: this.#gate,
-      budgets: new RepeatBudgets(bounds, () => this.#instances),
+      startGate: this.#startGate,
+      budgets: new RetryBudgets(bounds, () => this.#instances),
       dataCentre: settings.dataCentre,
       table: () => this.#table,
       isStopping: () => this.#isStopping,
-      isRefusing: () => this.#isRefusing,
-      countRun: (workspace) => this.#countRun(workspace),
+      isRejecting: () => this.#isRejecting,
+      countStartedRequest: (workspace) => this.#countStartedRequest(workspace),
     };
   }
 
-  #createListReader(platform: PlatformCalls): ListReader {
+  #createListReader(platform: PlatformCalls): EndpointListReader {
     const { timer, journal, settings } = this.#options;
-    return new ListReader({
+    return new EndpointListReader({
       platform,
       directory: this.#directory,
       timer,
@@ -243,11 +243,11 @@
       callsPerS: settings.platformCallsPerS,
       instances: () => this.#instances,
       isReader: () => this.#mesh.isLeader,
-      tell: (listed) => this.#mesh.notify(listed),
+      publish: (listed) => this.#mesh.notify(listed),
     });
   }
 
-  #reportUsage(): void {
+  #startUsageReporter(): void {
     const { platform, settings, timer, journal } = this.#options;
     const { usageWindowS: windowS, dutyPauseMs: pauseMs } = settings;
     const registry = this.#registry;
@@ -256,14 +256,14 @@
     this.store.add(new UsageReporter({ ...parts, usage: this.#usage, clock: this.#clock }));
   }
 
-  #countRun(workspace: WorkspaceName | undefined): void {
+  #countStartedRequest(workspace: WorkspaceName | undefined): void {
     const { usageWindowS } = this.#options.settings;
     if (workspace === undefined || usageWindowS === undefined) return;
     const window = Math.floor(this.#clock.now() / 1000 / usageWindowS);
-    this.#usage.add(this.#source, window, workspace);
+    this.#usage.add(this.#usageSource, window, workspace);
   }
 
-  #apply({ version, body }: StoredConfiguration): void {
+  #applyConfiguration({ version, body }: StoredConfiguration): void {
     const { wire, journal } = this.#options;
     const decoded = wire.decodeConfiguration(inflateRawSync(body).toString('utf8'));
     if (decoded.isErr()) {
@@ -271,22 +271,22 @@
       return;
     }
     this.#table = new RoutingTable(decoded.value);
-    this.#front.limit(decoded.value.limits);
+    this.#callerServer.applyLimits(decoded.value.limits);
     const { routes, pools } = decoded.value;
     const sizes = { routes: routes.length, pools: pools.length };
     journal.record(gatewayEvents.tableReplaced, { version, ...sizes });
-    this.#noteReadiness();
+    this.#updateReadiness();
   }
 
   #isReady(): boolean {
-    this.#noteReadiness();
+    this.#updateReadiness();
     return this.#wasReady;
   }
 
-  #noteReadiness(): void {
-    const isInformed = this.#table !== undefined && this.#directory.isKnown;
-    if (isInformed) this.#gate.release();
-    const isReady = !this.#isStopping && isInformed;
+  #updateReadiness(): void {
+    const hasRoutingData = this.#table !== undefined && this.#directory.isLoaded;
+    if (hasRoutingData) this.#startGate.release();
+    const isReady = !this.#isStopping && hasRoutingData;
     if (isReady === this.#wasReady) return;
     this.#wasReady = isReady;
     this.#options.journal.record(gatewayEvents.readinessChanged, {
--- a/packages/gateway/src/lib/GatewayContext.ts
+++ b/packages/gateway/src/lib/GatewayContext.ts
@@ -1,7 +1,7 @@
 import type { Journal, Metrics, Random, Timer } from '@berylwood/base';
 import type { EndpointDirectory } from './EndpointDirectory';
 import type { RequestLog } from './RequestLog';
-import type { RepeatBudgets } from './RepeatBudgets';
+import type { RetryBudgets } from './RetryBudgets';
 import type { RoutingTable } from './RoutingTable';
 import type { StartGate } from './StartGate';
 import type { WorkspaceName } from './ids';
@@ -16,15 +16,15 @@
   readonly metrics: Metrics;
   readonly log: RequestLog;
   readonly directory: EndpointDirectory;
-  readonly budgets: RepeatBudgets;
+  readonly budgets: RetryBudgets;
   readonly dataCentre: string;
-  readonly gate: StartGate;
+  readonly startGate: StartGate;
   /** The routing table in force, if any. */
   readonly table: () => RoutingTable | undefined;
   /** Whether connections are closed after their present answer. */
   readonly isStopping: () => boolean;
   /** Whether requests that arrive now are refused, since the process ends soon. */
-  readonly isRefusing: () => boolean;
+  readonly isRejecting: () => boolean;
   /** Counts a request that an endpoint has begun to run. */
-  readonly countRun: (workspace: WorkspaceName | undefined) => void;
+  readonly countStartedRequest: (workspace: WorkspaceName | undefined) => void;
 }
--- a/packages/gateway/src/lib/OperatorServer.ts
+++ b/packages/gateway/src/lib/OperatorServer.ts
@@ -9,16 +9,16 @@
 import type { Wire } from './Wire';
 
 /** Largest configuration; thousands of routes fit. */
-const MAX_DOCUMENT_BYTES = 16 * 1024 * 1024;
+const MAX_CONFIGURATION_BYTES = 16 * 1024 * 1024;
 
 /** Time after which operators should ask another instance again, in milliseconds. */
-const RETRY_MS = 200;
+const RETRY_AFTER_MS = 200;
 
 /** Interval at which connections are checked, in milliseconds. */
-const IDLE_MS = 30_000;
+const KEEP_ALIVE_MS = 30_000;
 
 /** Parts that the server needs. @internal */
-export interface OperatorServerParts {
+export interface OperatorServerOptions {
   readonly wire: Wire;
   readonly mesh: Mesh;
   readonly journal: Journal;
@@ -26,38 +26,38 @@
 
 /** Takes configurations from operators and reads the newest one back. @internal */
 export class OperatorServer extends HttpListener {
-  readonly #parts: OperatorServerParts;
+  readonly #options: OperatorServerOptions;
 
   protected readonly server: Server;
 
-  constructor(parts: OperatorServerParts) {
+  constructor(parts: OperatorServerOptions) {
     super();
-    this.#parts = parts;
-    this.server = createServer({ keepAliveTimeout: IDLE_MS }, (request, response) => {
+    this.#options = parts;
+    this.server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS }, (request, response) => {
       this.#serve(request, response);
     });
   }
 
   #serve(request: IncomingMessage, response: ServerResponse): void {
-    const { wire } = this.#parts;
+    const { wire } = this.#options;
     const path = (request.url ?? '').split('?', 1)[0];
     if (path !== wire.paths.configuration) {
       response.writeHead(404).end();
     } else if (request.method === 'PUT') {
-      readBody(request, MAX_DOCUMENT_BYTES, (body) => {
+      readBody(request, MAX_CONFIGURATION_BYTES, (body) => {
         if (body === 'tooLarge') response.writeHead(413, { Connection: 'close' }).end();
         else if (body !== 'gone') this.#configure(body, response);
       });
     } else if (request.method === 'GET') {
-      this.#read(response);
+      this.#sendNewest(response);
     } else response.writeHead(405, { Allow: 'GET, PUT' }).end();
   }
 
   async #configure(body: Buffer, response: ServerResponse): Promise<void> {
-    const { wire, mesh } = this.#parts;
+    const { wire, mesh } = this.#options;
     const decoded = wire.decodeConfiguration(body.toString('utf8'));
     if (decoded.isErr()) {
-      this.#note('refused', undefined, decoded.error.message);
+      this.#logCall('refused', undefined, decoded.error.message);
       sendFailure(response, decoded.error, undefined, false);
       return;
     }
@@ -67,37 +67,37 @@
       this.#postpone(response, version, result.error);
       return;
     }
-    const { isStored, version: held } = result.value;
-    this.#note(isStored ? 'stored' : 'kept', version, `version ${held} is held`);
-    this.#send(response, Buffer.from(JSON.stringify({ version: held })));
+    const { isStored, version: storedVersion } = result.value;
+    this.#logCall(isStored ? 'stored' : 'kept', version, `version ${storedVersion} is held`);
+    this.#sendJson(response, Buffer.from(JSON.stringify({ version: storedVersion })));
   }
 
-  async #read(response: ServerResponse): Promise<void> {
-    const result = await this.#parts.mesh.readNewest();
+  async #sendNewest(response: ServerResponse): Promise<void> {
+    const result = await this.#options.mesh.readNewest();
     if (result.isErr()) {
       this.#postpone(response, undefined, result.error);
       return;
     }
     if (!result.value) {
-      response.writeHead(503, { 'Retry-After': String(RETRY_MS / 1000) }).end();
+      response.writeHead(503, { 'Retry-After': String(RETRY_AFTER_MS / 1000) }).end();
       return;
     }
-    this.#note('read', result.value.version, undefined);
-    this.#send(response, inflateRawSync(result.value.body));
+    this.#logCall('read', result.value.version, undefined);
+    this.#sendJson(response, inflateRawSync(result.value.body));
   }
 
   /** Answers that the newest configuration is not known or not committed. */
   #postpone(response: ServerResponse, version: number | undefined, failure: Failure): void {
-    this.#note('postponed', version, failure.message);
-    const headers = { 'Retry-After': String(RETRY_MS / 1000), 'Content-Type': 'text/plain' };
+    this.#logCall('postponed', version, failure.message);
+    const headers = { 'Retry-After': String(RETRY_AFTER_MS / 1000), 'Content-Type': 'text/plain' };
     response.writeHead(503, headers).end(failure.message);
   }
 
-  #note(outcome: string, version: number | undefined, reason: string | undefined): void {
-    this.#parts.journal.record(gatewayEvents.operatorAnswered, { outcome, version, reason });
+  #logCall(outcome: string, version: number | undefined, reason: string | undefined): void {
+    this.#options.journal.record(gatewayEvents.operatorAnswered, { outcome, version, reason });
   }
 
-  #send(response: ServerResponse, body: Buffer): void {
+  #sendJson(response: ServerResponse, body: Buffer): void {
     response.writeHead(200, {
       'Content-Type': 'application/json',
       'Content-Length': body.length,
--- a/packages/gateway/src/lib/ReachProbe.test.ts
+++ b/packages/gateway/src/lib/ReachabilityProbe.test.ts
@@ -4,17 +4,17 @@
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net';
 import { test } from 'node:test';
 import { SystemTimer } from '@berylwood/base';
-import { CONNECT_MS, ReachProbe } from './ReachProbe';
+import { CONNECT_TIMEOUT_MS, ReachabilityProbe } from './ReachabilityProbe';
 
 /** Connections that a listener with a backlog of one takes before it drops the next. */
 const BACKLOG_FILLERS = 4;
 
 /** Whether an endpoint is found out of reach in about the time of a connection. */
 async function isUnreachable(address: string): Promise<boolean> {
-  const probe = new ReachProbe(address, new SystemTimer());
+  const probe = new ReachabilityProbe(address, new SystemTimer());
   return new Promise((resolve) => {
     probe.check(() => resolve(true));
-    setTimeout(() => resolve(false), CONNECT_MS * 3);
+    setTimeout(() => resolve(false), CONNECT_TIMEOUT_MS * 3);
   });
 }
 
@@ -42,7 +42,7 @@
   });
   try {
     await new Promise((resolve) => {
-      setTimeout(resolve, CONNECT_MS);
+      setTimeout(resolve, CONNECT_TIMEOUT_MS);
     });
     assert.equal(await isUnreachable(`127.0.0.1:${port}`), true);
   } finally {
--- a/packages/gateway/src/lib/ReachProbe.ts
+++ b/packages/gateway/src/lib/ReachabilityProbe.ts
@@ -3,10 +3,10 @@
 import { splitAddress } from '@berylwood/link';
 
 /** Time for a connection to be made; both ends are milliseconds apart. */
-export const CONNECT_MS = 300;
+export const CONNECT_TIMEOUT_MS = 300;
 
 /** Time for which an endpoint that was reached is not probed again, in milliseconds: probes cost. */
-const REACHED_MS = 2000;
+const REACHABLE_TTL_MS = 2000;
 
 /**
  * Finds out whether an endpoint that has fallen silent can still be reached: a machine that has lost
@@ -14,14 +14,14 @@
  * at a time serves all requests that wait for the endpoint.
  * @internal
  */
-export class ReachProbe {
+export class ReachabilityProbe {
   readonly #address: string;
 
   readonly #timer: Timer;
 
-  #waiting: (() => void)[] = [];
+  #pendingCallbacks: (() => void)[] = [];
 
-  #reachedAt = -Infinity;
+  #lastReachableAt = -Infinity;
 
   constructor(address: string, timer: Timer) {
     this.#address = address;
@@ -30,28 +30,28 @@
 
   /** Calls back if the endpoint can't be reached. */
   check(onUnreachable: () => void): void {
-    if (this.#timer.now() - this.#reachedAt < REACHED_MS) return;
-    this.#waiting.push(onUnreachable);
-    if (this.#waiting.length === 1) this.#probe();
+    if (this.#timer.now() - this.#lastReachableAt < REACHABLE_TTL_MS) return;
+    this.#pendingCallbacks.push(onUnreachable);
+    if (this.#pendingCallbacks.length === 1) this.#probe();
   }
 
   #probe(): void {
     const socket = connect({ ...splitAddress(this.#address) });
-    const timeout = this.#timer.after(CONNECT_MS, () => this.#end(socket, false));
-    const onAnswer = (): void => {
+    const timeout = this.#timer.after(CONNECT_TIMEOUT_MS, () => this.#end(socket, false));
+    const onReachable = (): void => {
       timeout[Symbol.dispose]();
       this.#end(socket, true);
     };
-    socket.once('connect', onAnswer);
+    socket.once('connect', onReachable);
     // A refusal comes from a machine that runs; what was sent there is reset by itself.
-    socket.once('error', onAnswer);
+    socket.once('error', onReachable);
   }
 
   #end(socket: Socket, isReached: boolean): void {
     socket.destroy();
-    const waiting = this.#waiting;
-    this.#waiting = [];
-    if (isReached) this.#reachedAt = this.#timer.now();
+    const waiting = this.#pendingCallbacks;
+    this.#pendingCallbacks = [];
+    if (isReached) this.#lastReachableAt = this.#timer.now();
     else waiting.forEach((onUnreachable) => onUnreachable());
   }
 }
--- a/packages/gateway/src/lib/RequestLog.ts
+++ b/packages/gateway/src/lib/RequestLog.ts
@@ -2,7 +2,7 @@
 import { gatewayEvents } from './events';
 
 /** Lines of served requests a second; failures are always written. */
-const SERVED_LINES_PER_S = 40;
+const MAX_SERVED_LINES_PER_S = 40;
 
 const SECOND_MS = 1000;
 
@@ -48,31 +48,33 @@
 
   readonly #requests;
 
-  readonly #first;
+  readonly #firstByteSeconds;
 
-  readonly #total;
+  readonly #requestSeconds;
 
-  #second = -Infinity;
+  #secondStartedAt = -Infinity;
 
   #written = 0;
 
-  #leftOut = 0;
+  #omitted = 0;
 
   constructor(journal: Journal, timer: Timer, metrics: Metrics) {
     this.#journal = journal;
     this.#timer = timer;
     const labels = ['route', 'outcome'];
     this.#requests = metrics.counter('requests_total', 'Requests ended, by outcome', labels);
-    this.#first = metrics.histogram('first_byte_seconds', 'Time to the first byte', ['route']);
-    this.#total = metrics.histogram('request_seconds', 'Time to the end', ['route']);
+    this.#firstByteSeconds = metrics.histogram('first_byte_seconds', 'Time to the first byte', [
+      'route',
+    ]);
+    this.#requestSeconds = metrics.histogram('request_seconds', 'Time to the end', ['route']);
   }
 
   served(record: RequestRecord): void {
     this.#count(record, 'served');
     const now = this.#timer.now();
-    if (now - this.#second >= SECOND_MS) this.#beginSecond(now);
-    if (this.#written >= SERVED_LINES_PER_S) {
-      this.#leftOut += 1;
+    if (now - this.#secondStartedAt >= SECOND_MS) this.#startSecond(now);
+    if (this.#written >= MAX_SERVED_LINES_PER_S) {
+      this.#omitted += 1;
       return;
     }
     this.#written += 1;
@@ -86,16 +88,16 @@
 
   #count({ route = 'none', firstMs, totalMs }: RequestRecord, outcome: string): void {
     this.#requests.inc({ route, outcome });
-    if (firstMs !== undefined) this.#first.observe({ route }, firstMs / SECOND_MS);
-    this.#total.observe({ route }, totalMs / SECOND_MS);
+    if (firstMs !== undefined) this.#firstByteSeconds.observe({ route }, firstMs / SECOND_MS);
+    this.#requestSeconds.observe({ route }, totalMs / SECOND_MS);
   }
 
-  #beginSecond(now: number): void {
-    if (this.#leftOut > 0) {
-      this.#journal.record(gatewayEvents.linesLeftOut, { lines: this.#leftOut });
+  #startSecond(now: number): void {
+    if (this.#omitted > 0) {
+      this.#journal.record(gatewayEvents.linesLeftOut, { lines: this.#omitted });
     }
-    this.#second = now;
+    this.#secondStartedAt = now;
     this.#written = 0;
-    this.#leftOut = 0;
+    this.#omitted = 0;
   }
 }
--- a/packages/gateway/src/lib/Answer.ts
+++ b/packages/gateway/src/lib/ResponseRelay.ts
@@ -1,34 +1,34 @@
 import type { ServerResponse } from 'node:http';
-import type { AnswerHead } from './Attempt';
+import type { ResponseHead } from './Attempt';
 import { EventScanner } from './EventScanner';
 import type { Wire } from './Wire';
 
 /** Bytes of a plain answer that are held back, so that a broken one can be had elsewhere. */
-const MAX_HELD_BYTES = 256 * 1024;
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
-const FIRST_FAILURE = 500;
+const MIN_FAILURE_STATUS = 500;
 
 /**
  * The answer to a caller. Plain answers are held until they are complete; streams are passed on in
  * whole events, and their head with the first one, so that until then another endpoint can answer.
  * @internal
  */
-export class Answer {
+export class ResponseRelay {
   readonly #response: ServerResponse;
 
   readonly #wire: Wire;
 
-  #head: AnswerHead | undefined;
+  #head: ResponseHead | undefined;
 
   #scanner: EventScanner | undefined;
 
-  #held: Buffer[] = [];
+  #buffered: Buffer[] = [];
 
-  #heldBytes = 0;
+  #bufferedBytes = 0;
 
-  #isStarted = false;
+  #isHeadSent = false;
 
-  #isClosing = false;
+  #closesConnection = false;
 
   constructor(response: ServerResponse, wire: Wire) {
     this.#response = response;
@@ -36,8 +36,8 @@
   }
 
   /** Whether the caller has got the head. */
-  get isStarted(): boolean {
-    return this.#isStarted;
+  get isHeadSent(): boolean {
+    return this.#isHeadSent;
   }
 
   get isEventStream(): boolean {
@@ -50,28 +50,28 @@
 
   /** Whether the endpoint failed to serve the request. */
   get isFailure(): boolean {
-    return this.status >= FIRST_FAILURE;
+    return this.status >= MIN_FAILURE_STATUS;
   }
 
-  get hasEvents(): boolean {
-    return this.#isStarted && this.isEventStream;
+  get hasSentEvents(): boolean {
+    return this.#isHeadSent && this.isEventStream;
   }
 
   /** Whether bytes of an unfinished event are left. */
-  get hasRest(): boolean {
-    return this.#scanner?.hasRest ?? false;
+  get hasPartialEvent(): boolean {
+    return this.#scanner?.hasPartialEvent ?? false;
   }
 
   /** Id of the last event that was passed on. */
   get lastEventId(): string | undefined {
-    return this.#isStarted ? this.#scanner?.lastId : undefined;
+    return this.#isHeadSent ? this.#scanner?.lastId : undefined;
   }
 
   /** Takes the head of an endpoint's answer; a stream that goes on keeps its first one. */
-  begin(head: AnswerHead, isClosing: boolean): void {
-    if (this.#isStarted) return;
+  setHead(head: ResponseHead, closesConnection: boolean): void {
+    if (this.#isHeadSent) return;
     this.#head = head;
-    this.#isClosing = isClosing;
+    this.#closesConnection = closesConnection;
     if (head.isEventStream) this.#scanner ??= new EventScanner();
   }
 
@@ -81,48 +81,50 @@
       const { bytes } = this.#scanner.push(chunk);
       return bytes.length === 0 || this.#write(bytes);
     }
-    if (this.#isStarted) return this.#write(chunk);
-    this.#held.push(chunk);
-    this.#heldBytes += chunk.length;
-    return this.#heldBytes <= MAX_HELD_BYTES || this.#write(Buffer.concat(this.#takeHeld()));
+    if (this.#isHeadSent) return this.#write(chunk);
+    this.#buffered.push(chunk);
+    this.#bufferedBytes += chunk.length;
+    return (
+      this.#bufferedBytes <= MAX_BUFFERED_BYTES || this.#write(Buffer.concat(this.#takeBuffered()))
+    );
   }
 
   /** Drops what another endpoint will send anew. */
   reset(): void {
-    this.#takeHeld();
-    this.#scanner?.dropRest();
-    if (!this.#isStarted) this.#scanner = undefined;
+    this.#takeBuffered();
+    this.#scanner?.dropPartialEvent();
+    if (!this.#isHeadSent) this.#scanner = undefined;
   }
 
   /** Completes the answer. */
   finish(): void {
-    const body = Buffer.concat(this.#takeHeld());
+    const body = Buffer.concat(this.#takeBuffered());
     const isSized = !this.isEventStream && this.#head?.hasLength;
-    if (!this.#isStarted) this.#start(isSized ? body.length : undefined);
+    if (!this.#isHeadSent) this.#sendHead(isSized ? body.length : undefined);
     this.#response.end(body);
   }
 
-  #takeHeld(): Buffer[] {
-    const held = this.#held;
-    this.#held = [];
-    this.#heldBytes = 0;
-    return held;
+  #takeBuffered(): Buffer[] {
+    const buffered = this.#buffered;
+    this.#buffered = [];
+    this.#bufferedBytes = 0;
+    return buffered;
   }
 
   #write(bytes: Buffer): boolean {
-    if (!this.#isStarted) this.#start(undefined);
+    if (!this.#isHeadSent) this.#sendHead(undefined);
     return this.#response.write(bytes);
   }
 
-  #start(bodyBytes: number | undefined): void {
+  #sendHead(bodyBytes: number | undefined): void {
     const { status = 0, rawHeaders = [] } = this.#head ?? {};
-    const headers = this.#wire.answerHeaders(rawHeaders);
+    const headers = this.#wire.responseHeaders(rawHeaders);
     if (bodyBytes !== undefined) headers.push('Content-Length', String(bodyBytes));
     const isUnframed = this.#head?.hasLength === false;
-    if (this.#isClosing || isUnframed) headers.push('Connection', 'close');
+    if (this.#closesConnection || isUnframed) headers.push('Connection', 'close');
     // Whether such an answer is whole can't be known, so the caller gets it without a length, too.
     if (isUnframed) this.#response.useChunkedEncodingByDefault = false;
-    this.#isStarted = true;
+    this.#isHeadSent = true;
     this.#response.writeHead(status, headers);
   }
 }
--- a/packages/gateway/src/lib/Pace.ts
+++ b/packages/gateway/src/lib/ResponseTiming.ts
@@ -1,5 +1,5 @@
 /** When the parts of an answer came. @internal */
-export class Pace {
+export class ResponseTiming {
   /** Monotonic time of the first part. */
   firstAt: number | undefined;
 
--- a/packages/gateway/src/lib/RepeatBudgets.ts
+++ b/packages/gateway/src/lib/RetryBudgets.ts
@@ -3,7 +3,7 @@
 import type { PoolName } from './ids';
 
 /** Bounds on sending requests once more, for all instances together. @public */
-export interface RepeatBounds {
+export interface RetryLimits {
   /** Repeats as a share of the requests. */
   readonly ratio: number;
   /** Repeats allowed beyond that share in one window. */
@@ -11,10 +11,10 @@
 }
 
 /** Part of the bounds that is used: instances divide them by a count that may be out of date. */
-const USED_SHARE = 0.7;
+const USED_FRACTION = 0.7;
 
 /** Change of the number of instances at which a budget is divided anew. */
-const DIVIDE_ANEW_FACTOR = 2;
+const RESIZE_FACTOR = 2;
 
 /** Longest backoff before a repeat, in milliseconds: it goes to another endpoint. */
 const MAX_BACKOFF_MS = 20;
@@ -25,40 +25,40 @@
  * each instance takes an equal part of it and gains more only with the requests it receives.
  * @internal
  */
-export class RepeatBudgets {
-  readonly #bounds: RepeatBounds;
+export class RetryBudgets {
+  readonly #limits: RetryLimits;
 
   readonly #instances: () => number;
 
   readonly #budgets = new Map<PoolName, { budget: RetryBudget; instances: number }>();
 
-  constructor(bounds: RepeatBounds, instances: () => number) {
-    this.#bounds = bounds;
+  constructor(bounds: RetryLimits, instances: () => number) {
+    this.#limits = bounds;
     this.#instances = instances;
   }
 
-  arrived(pool: PoolName): void {
-    this.#of(pool).arrived();
+  recordRequest(pool: PoolName): void {
+    this.#budgetOf(pool).arrived();
   }
 
   /** Whether a repeat is left. */
-  has(pool: PoolName): boolean {
-    return this.#of(pool).balance >= 1;
+  hasBudget(pool: PoolName): boolean {
+    return this.#budgetOf(pool).balance >= 1;
   }
 
   /** Takes one repeat; the backoff before it in milliseconds, or undefined if none is left. */
   take(pool: PoolName, attempts: number, leftMs: number, random: Random): number | undefined {
-    return this.#of(pool).take(attempts, leftMs, random);
+    return this.#budgetOf(pool).take(attempts, leftMs, random);
   }
 
-  #of(pool: PoolName): RetryBudget {
+  #budgetOf(pool: PoolName): RetryBudget {
     const known = this.#budgets.get(pool);
     const instances = this.#instances();
     if (known && !this.#isOutdated(known.instances, instances)) return known.budget;
-    const { ratio, slack } = this.#bounds;
+    const { ratio, slack } = this.#limits;
     const budget = new RetryBudget({
-      share: ratio * USED_SHARE,
-      burst: Math.max(1, (slack * USED_SHARE) / instances),
+      share: ratio * USED_FRACTION,
+      burst: Math.max(1, (slack * USED_FRACTION) / instances),
       baseMs: 1,
       maxMs: MAX_BACKOFF_MS,
     });
@@ -67,6 +67,6 @@
   }
 
   #isOutdated(before: number, now: number): boolean {
-    return Math.max(before, now) / Math.min(before, now) >= DIVIDE_ANEW_FACTOR;
+    return Math.max(before, now) / Math.min(before, now) >= RESIZE_FACTOR;
   }
 }
--- a/packages/gateway/src/lib/RoutingConfiguration.ts
+++ b/packages/gateway/src/lib/RoutingConfiguration.ts
@@ -43,7 +43,7 @@
   /** Requests that one engine runs at a time. */
   readonly slots: number;
   /** Tokens that one engine holds in memory. */
-  readonly memoryTokens: number;
+  readonly kvCacheTokens: number;
 }
 
 /** @public */
--- a/packages/gateway/src/lib/RoutingTable.test.ts
+++ b/packages/gateway/src/lib/RoutingTable.test.ts
@@ -67,8 +67,8 @@
   assert.ok(second);
   const table = new RoutingTable({ ...configuration, workspaces: [first, second] });
   const levels = [first, second].flatMap((workspace) => [
-    table.urgencyOf(letter, workspace),
-    table.urgencyOf(report, workspace),
+    table.urgencyLevelOf(letter, workspace),
+    table.urgencyLevelOf(report, workspace),
   ]);
   assert.deepEqual(levels, [0, 1, 2, 3]);
 });
--- a/packages/gateway/src/lib/RoutingTable.ts
+++ b/packages/gateway/src/lib/RoutingTable.ts
@@ -26,7 +26,7 @@
   readonly #pools = new Map<PoolName, Pool>();
 
   /** By pool, the rank of its least urgent route. */
-  readonly #lastRanks = new Map<PoolName, number>();
+  readonly #maxRanks = new Map<PoolName, number>();
 
   readonly #urgency: UrgencyScale;
 
@@ -38,7 +38,7 @@
       routes.push(route);
       this.#routes.set(route.host, routes);
       for (const { pool } of route.targets) {
-        this.#lastRanks.set(pool, Math.max(route.rank, this.#lastRanks.get(pool) ?? 0));
+        this.#maxRanks.set(pool, Math.max(route.rank, this.#maxRanks.get(pool) ?? 0));
       }
     }
     for (const routes of this.#routes.values()) {
@@ -54,7 +54,7 @@
     return this.configuration.version;
   }
 
-  get needsKeys(): boolean {
+  get requiresKey(): boolean {
     return this.configuration.workspaces !== undefined;
   }
 
@@ -65,11 +65,11 @@
 
   /** Whether no other route of the pool is less urgent, so that its requests are turned away first. */
   isLeastUrgent({ rank }: Route, pool: PoolName): boolean {
-    return rank >= (this.#lastRanks.get(pool) ?? rank);
+    return rank >= (this.#maxRanks.get(pool) ?? rank);
   }
 
   /** Level of urgency of a request; 0 is the most urgent. */
-  urgencyOf(route: Route, workspace: Workspace | undefined): number {
+  urgencyLevelOf(route: Route, workspace: Workspace | undefined): number {
     return this.#urgency.levelOf(rankPairOf(route, workspace));
   }
 
@@ -85,10 +85,10 @@
 /** Chooses a target by weight; `draw` is uniform in [0, 1). @public */
 export function chooseTarget(targets: readonly Target[], draw: number): Target | undefined {
   const total = targets.reduce((sum, { weight }) => sum + weight, 0);
-  let left = draw * total;
+  let remainingWeight = draw * total;
   for (const target of targets) {
-    left -= target.weight;
-    if (left < 0) return target;
+    remainingWeight -= target.weight;
+    if (remainingWeight < 0) return target;
   }
   return targets.findLast(({ weight }) => weight > 0);
 }
--- a/packages/gateway/src/lib/SilenceWatch.ts
+++ b/packages/gateway/src/lib/StallDetector.ts
@@ -3,7 +3,7 @@
 import type { Route } from './RoutingConfiguration';
 
 /** Multiple of the objective without an answer after which a repeatable call goes elsewhere. */
-const SILENCE_OBJECTIVES = 2;
+const NO_RESPONSE_OBJECTIVES = 2;
 
 /** Multiple of the objective after which a silent stream that others have overtaken goes elsewhere. */
 const OVERTAKEN_OBJECTIVES = 0.5;
@@ -15,25 +15,25 @@
 const PROBE_PAUSES = 3;
 
 /** Shortest silence of a running stream that is looked into, in milliseconds. */
-const LEAST_PAUSE_MS = 400;
+const MIN_PAUSE_MS = 400;
 
 /** Interval at which a stream is looked at, as a multiple of the objective. */
-const WATCH_OBJECTIVES = 0.125;
+const CHECK_INTERVAL_OBJECTIVES = 0.125;
 
 /** An attempt as a watch sees it. */
 interface WatchedAttempt {
   readonly startedAt: number;
-  readonly endpoint: Pick<Endpoint, 'hasOvertaken' | 'heardSince' | 'probe'>;
+  readonly endpoint: Pick<Endpoint, 'hasOvertaken' | 'seenSince' | 'probe'>;
 }
 
 /** What a watch needs to know. @internal */
-export interface SilenceWatchOptions {
+export interface StallDetectorOptions {
   readonly timer: Timer;
   readonly attempt: WatchedAttempt;
   readonly route: Pick<Route, 'kind' | 'objectiveMs' | 'pauseMs'>;
   readonly rank: number;
   /** Called when the answer is probably lost; the watch goes on. */
-  readonly onSilence: (reason: string) => void;
+  readonly onStall: (reason: string) => void;
 }
 
 /**
@@ -44,60 +44,63 @@
  *   which on an instance with few requests may be chance; a new connection tells.
  * @internal
  */
-export class SilenceWatch implements Disposable {
-  readonly #options: SilenceWatchOptions;
+export class StallDetector implements Disposable {
+  readonly #options: StallDetectorOptions;
 
   readonly #intervalMs: number;
 
-  #next: Disposable | undefined;
+  #nextCheck: Disposable | undefined;
 
   /** Whether an event has come. */
-  #isBegun = false;
+  #hasStarted = false;
 
-  #heardAt: number;
+  #lastEventAt: number;
 
-  constructor(options: SilenceWatchOptions) {
+  constructor(options: StallDetectorOptions) {
     this.#options = options;
-    const { timer, route, attempt, onSilence } = options;
+    const { timer, route, attempt, onStall } = options;
     const { kind, objectiveMs } = route;
-    this.#intervalMs = objectiveMs * WATCH_OBJECTIVES;
-    this.#heardAt = attempt.startedAt;
+    this.#intervalMs = objectiveMs * CHECK_INTERVAL_OBJECTIVES;
+    this.#lastEventAt = attempt.startedAt;
     if (kind === 'repeatable') {
-      this.#next = timer.after(objectiveMs * SILENCE_OBJECTIVES, () => onSilence('no answer'));
+      this.#nextCheck = timer.after(objectiveMs * NO_RESPONSE_OBJECTIVES, () =>
+        onStall('no answer'),
+      );
     } else if (kind === 'stream') {
-      this.#next = timer.after(objectiveMs * OVERTAKEN_OBJECTIVES, () => this.#look());
+      this.#nextCheck = timer.after(objectiveMs * OVERTAKEN_OBJECTIVES, () => this.#check());
     }
   }
 
   /** Notes an event of the stream. */
-  heard(): void {
-    this.#isBegun = true;
-    this.#heardAt = this.#options.timer.now();
+  eventReceived(): void {
+    this.#hasStarted = true;
+    this.#lastEventAt = this.#options.timer.now();
   }
 
   [Symbol.dispose](): void {
-    this.#next?.[Symbol.dispose]();
-    this.#next = undefined;
+    this.#nextCheck?.[Symbol.dispose]();
+    this.#nextCheck = undefined;
   }
 
   get #probeAfterMs(): number {
     const { objectiveMs, pauseMs } = this.#options.route;
-    if (!this.#isBegun) return objectiveMs * PROBE_OBJECTIVES;
-    return Math.max(LEAST_PAUSE_MS, pauseMs * PROBE_PAUSES);
+    if (!this.#hasStarted) return objectiveMs * PROBE_OBJECTIVES;
+    return Math.max(MIN_PAUSE_MS, pauseMs * PROBE_PAUSES);
   }
 
-  #look(): void {
-    const { timer, attempt, rank, onSilence } = this.#options;
-    this.#next = timer.after(this.#intervalMs, () => this.#look());
+  #check(): void {
+    const { timer, attempt, rank, onStall } = this.#options;
+    this.#nextCheck = timer.after(this.#intervalMs, () => this.#check());
     const { endpoint, startedAt } = attempt;
-    if (!this.#isBegun && endpoint.hasOvertaken(rank, startedAt)) {
-      onSilence('overtaken without an answer');
+    if (!this.#hasStarted && endpoint.hasOvertaken(rank, startedAt)) {
+      onStall('overtaken without an answer');
       return;
     }
-    const isSilent = timer.now() - this.#heardAt >= this.#probeAfterMs;
-    if (!isSilent || endpoint.heardSince(this.#heardAt)) return;
+    const isSilent = timer.now() - this.#lastEventAt >= this.#probeAfterMs;
+    if (!isSilent || endpoint.seenSince(this.#lastEventAt)) return;
     endpoint.probe(() => {
-      if (this.#next && !endpoint.heardSince(this.#heardAt)) onSilence('endpoint out of reach');
+      if (this.#nextCheck && !endpoint.seenSince(this.#lastEventAt))
+        onStall('endpoint out of reach');
     });
   }
 }
--- a/packages/gateway/src/lib/StartGate.test.ts
+++ b/packages/gateway/src/lib/StartGate.test.ts
@@ -5,43 +5,43 @@
 
 function createGate() {
   const timer = new VirtualTimer();
-  const released: string[] = [];
+  const results: string[] = [];
   const gate = new StartGate(timer);
   const hold = (name: string, deadlineMs?: number) =>
     gate.wait({
-      onRelease: () => released.push(name),
+      onRelease: () => results.push(name),
       deadlineMs,
-      onTimeout: () => released.push(`${name} too late`),
+      onTimeout: () => results.push(`${name} too late`),
     });
-  return { timer, gate, released, hold };
+  return { timer, gate, results, hold };
 }
 
 test('requests wait for the first news, but not those whose callers have gone', () => {
-  const { gate, released, hold } = createGate();
+  const { gate, results, hold } = createGate();
   hold('first');
   hold('gone')[Symbol.dispose]();
   hold('last');
   assert.equal(gate.isHolding, true);
   gate.release();
-  assert.deepEqual(released, ['first', 'last']);
+  assert.deepEqual(results, ['first', 'last']);
   assert.equal(gate.isHolding, false);
 });
 
 test('requests are let go a second after the start in any case', () => {
-  const { timer, gate, released, hold } = createGate();
+  const { timer, gate, results, hold } = createGate();
   timer.advance(900);
   hold('late');
-  assert.deepEqual(released, []);
+  assert.deepEqual(results, []);
   timer.advance(100);
-  assert.deepEqual(released, ['late']);
+  assert.deepEqual(results, ['late']);
   assert.equal(gate.isHolding, false);
 });
 
 test('a request whose time ends while it waits is told at once', () => {
-  const { timer, gate, released, hold } = createGate();
+  const { timer, gate, results, hold } = createGate();
   hold('short', 300);
   hold('long', 5000);
   timer.advance(300);
   gate.release();
-  assert.deepEqual(released, ['short too late', 'long']);
+  assert.deepEqual(results, ['short too late', 'long']);
 });
--- a/packages/gateway/src/lib/StartGate.ts
+++ b/packages/gateway/src/lib/StartGate.ts
@@ -4,7 +4,7 @@
  * Time after the start for which requests wait for the first news, in milliseconds: other instances
  * that were restarted at the same time have them within half a second.
  */
-const START_MS = 1000;
+const MAX_HOLD_MS = 1000;
 
 /** A request that waits. @internal */
 export interface HeldRequest {
@@ -32,7 +32,7 @@
 
   constructor(timer: Timer) {
     this.#timer = timer;
-    this.#deadline = timer.after(START_MS, () => this.release());
+    this.#deadline = timer.after(MAX_HOLD_MS, () => this.release());
   }
 
   /** Whether requests that arrive now wait. */
@@ -49,7 +49,7 @@
     };
     this.#waiting.add(release);
     held.add({ [Symbol.dispose]: () => this.#waiting.delete(release) });
-    if (deadlineMs < START_MS) {
+    if (deadlineMs < MAX_HOLD_MS) {
       const expire = (): void => {
         held[Symbol.dispose]();
         onTimeout();
--- a/packages/gateway/src/lib/UsageReporter.ts
+++ b/packages/gateway/src/lib/UsageReporter.ts
@@ -19,7 +19,7 @@
 }
 
 /** Time after a window's end for the last counts of all instances to arrive, in milliseconds. */
-const SETTLE_MS = 2000;
+const MIN_SETTLE_MS = 2000;
 
 /** Longest wait for an instance that is cut off; reports are due ten seconds after the window. */
 const MAX_SETTLE_MS = 8500;
@@ -30,10 +30,10 @@
 const TICK_MS = 500;
 
 /** Windows that a new leader reports again, since their reports may not have arrived. */
-const REPEATED_WINDOWS = 3;
+const REREPORTED_WINDOWS = 3;
 
 /** Windows that are closed late after a pause of leadership. */
-const MAX_OVERDUE = 12;
+const MAX_OVERDUE_WINDOWS = 12;
 
 /**
  * Reports the usage of each window, on the leader only. The counts are frozen in the log before
@@ -45,7 +45,7 @@
 
   readonly #store = new DisposableStore();
 
-  readonly #startedWindow: number;
+  readonly #firstWindow: number;
 
   /** Windows that this leader has reported in its term. */
   #reported = new Set<number>();
@@ -53,13 +53,13 @@
   #term = 0;
 
   /** Term in which the platform refused a report since it had seen a higher fence. */
-  #refusedTerm = -1;
+  #fencedTerm = -1;
 
   #isBusy = false;
 
   constructor(options: UsageReporterOptions) {
     this.#options = options;
-    this.#startedWindow = this.#windowAt(options.clock.now());
+    this.#firstWindow = this.#windowAt(options.clock.now());
     this.#store.add(options.timer.every(TICK_MS, () => this.#tick()));
   }
 
@@ -75,13 +75,13 @@
     const { registry, pauseMs, journal } = this.#options;
     if (!registry.isLeader || registry.ledMs < pauseMs || this.#isBusy) return;
     const { term } = registry;
-    if (term === this.#refusedTerm) return;
+    if (term === this.#fencedTerm) return;
     if (term !== this.#term) {
       this.#term = term;
       this.#reported = new Set();
     }
     this.#isBusy = true;
-    this.#work(term)
+    this.#closeAndReport(term)
       .catch((error: unknown) => {
         journal.record(gatewayEvents.usageFailed, { error: String(error) });
       })
@@ -90,16 +90,16 @@
       });
   }
 
-  async #work(term: number): Promise<void> {
+  async #closeAndReport(term: number): Promise<void> {
     await this.#closeWindows();
     await this.#reportWindows(term);
   }
 
   async #closeWindows(): Promise<void> {
     const { registry, clock, usage } = this.#options;
-    const last = this.#windowAt(clock.now() - SETTLE_MS) - 1;
+    const last = this.#windowAt(clock.now() - MIN_SETTLE_MS) - 1;
     const closed = registry.machine.lastWindow;
-    const from = closed < 0 ? this.#startedWindow : Math.max(closed + 1, last - MAX_OVERDUE);
+    const from = closed < 0 ? this.#firstWindow : Math.max(closed + 1, last - MAX_OVERDUE_WINDOWS);
     for (let window = from; window <= last; window += 1) {
       if (!this.#isSettled(window)) return;
       const counts = JSON.stringify(usage.total(window));
@@ -110,7 +110,7 @@
 
   async #reportWindows(term: number): Promise<void> {
     const { registry } = this.#options;
-    const latest = [...registry.machine.windows].slice(-REPEATED_WINDOWS);
+    const latest = [...registry.machine.windows].slice(-REREPORTED_WINDOWS);
     const due = latest.filter(([window]) => !this.#reported.has(window));
     for (const [window, counts] of due) {
       if (!registry.isLeader || registry.term !== term) return;
@@ -136,6 +136,6 @@
     }
     const { code, message } = result.error;
     journal.record(gatewayEvents.usageFailed, { window, fence, message });
-    if (code === gatewayCodes.fenceOutdated) this.#refusedTerm = fence;
+    if (code === gatewayCodes.fenceOutdated) this.#fencedTerm = fence;
   }
 }
--- a/packages/gateway/src/lib/Wire.ts
+++ b/packages/gateway/src/lib/Wire.ts
@@ -10,7 +10,7 @@
 }
 
 /** What a request says of itself. @public */
-export interface RequestFacts {
+export interface RequestMetadata {
   readonly attempt: AttemptId | undefined;
   readonly host: string;
   /** Time that the caller still waits, counted from the arrival, in milliseconds. */
@@ -28,7 +28,7 @@
 }
 
 /** What this system adds to a request that it hands to an endpoint. @public */
-export interface Handover {
+export interface ForwardingMetadata {
   readonly endpoint: EndpointId;
   readonly workspace: WorkspaceName | undefined;
   /** Time until the endpoint should give up, in milliseconds. */
@@ -41,24 +41,24 @@
 }
 
 /** Load as an endpoint states it with an answer. @public */
-export interface StatedLoad {
+export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
 /** What an endpoint's answer says of itself. @public */
-export interface AnswerFacts {
+export interface ResponseMetadata {
   readonly attempt: AttemptId | undefined;
   /** Whether the endpoint states that it has not run the request and won't. */
   readonly isNotRun: boolean;
   /** Whether another incarnation than the expected one has answered. */
   readonly isMisdirected: boolean;
-  readonly load: StatedLoad | undefined;
+  readonly load: ReportedLoad | undefined;
   /** Time for which the endpoint keeps the connection open, in milliseconds. */
   readonly keepAliveMs: number | undefined;
   /** Whether the endpoint closes the connection after this answer. */
-  readonly closes: boolean;
+  readonly closesConnection: boolean;
 }
 
 /** One endpoint as the list of endpoints names it. @public */
@@ -73,7 +73,7 @@
 }
 
 /** One page of the list; entries that can't be read are left out and counted. @public */
-export interface ListPage {
+export interface EndpointListPage {
   readonly endpoints: readonly ListedEndpoint[];
   readonly unreadable: number;
   readonly nextToken: string | undefined;
@@ -84,15 +84,15 @@
 
 /** Names and formats of what callers, endpoints and operators send. @public */
 export abstract class Wire {
-  abstract readRequest(headers: RawHeaders): RequestFacts;
+  abstract readRequest(headers: RawHeaders): RequestMetadata;
 
   /** Headers for an endpoint: the caller's, but for its key and those that the system sets. */
-  abstract endpointHeaders(headers: RawHeaders, handover: Handover): string[];
+  abstract endpointHeaders(headers: RawHeaders, handover: ForwardingMetadata): string[];
 
-  abstract readAnswer(status: number, headers: RawHeaders): AnswerFacts;
+  abstract readResponse(status: number, headers: RawHeaders): ResponseMetadata;
 
   /** Headers for the caller out of those of an endpoint. */
-  abstract answerHeaders(headers: RawHeaders): string[];
+  abstract responseHeaders(headers: RawHeaders): string[];
 
   /** Decodes and checks a configuration; the failure says what is wrong with it. */
   abstract decodeConfiguration(text: string): Result<RoutingConfiguration, Failure>;
@@ -103,7 +103,7 @@
 /** Calls to the platform. @public */
 export abstract class PlatformCalls {
   /** Reads one page of the list of endpoints. */
-  abstract listEndpoints(token: string | undefined): Promise<Result<ListPage, Failure>>;
+  abstract listEndpoints(token: string | undefined): Promise<Result<EndpointListPage, Failure>>;
 
   /** Reports the frozen counts of a usage window under the fence of the registry's leader. */
   abstract reportUsage(
--- a/packages/gateway/src/lib/mayRepeat.ts
+++ b/packages/gateway/src/lib/canRetry.ts
@@ -1,7 +1,7 @@
 import type { RequestKind } from './RoutingConfiguration';
 
 /** What is known when an attempt has ended without a usable answer. @internal */
-export interface RepeatInput {
+export interface RetryState {
   readonly kind: RequestKind;
   readonly isResumable: boolean;
   /** Whether no attempt so far can have run. */
@@ -10,15 +10,15 @@
   readonly sends: number;
   readonly maxAttempts: number;
   /** Attempts that reached no endpoint. */
-  readonly misses: number;
+  readonly connectErrors: number;
   readonly leftMs: number;
 }
 
 /** Connections that one request may fail to make before it is refused. */
-const MAX_MISSES = 6;
+const MAX_CONNECT_ERRORS = 6;
 
 /** Time below which another attempt can't finish, in milliseconds. */
-const LEAST_LEFT_MS = 40;
+const MIN_LEFT_MS = 40;
 
 /**
  * Whether a request may be sent to another endpoint. Load pattern: endpoints that crash or fail
@@ -26,8 +26,8 @@
  * allows it.
  * @internal
  */
-export function mayRepeat(input: RepeatInput): boolean {
-  const { kind, isResumable, isNotRun, sends, maxAttempts, misses, leftMs } = input;
-  if (leftMs < LEAST_LEFT_MS || sends >= maxAttempts || misses >= MAX_MISSES) return false;
+export function canRetry(input: RetryState): boolean {
+  const { kind, isResumable, isNotRun, sends, maxAttempts, connectErrors: misses, leftMs } = input;
+  if (leftMs < MIN_LEFT_MS || sends >= maxAttempts || misses >= MAX_CONNECT_ERRORS) return false;
   return isNotRun || kind === 'repeatable' || (kind === 'stream' && isResumable);
 }
--- a/packages/gateway/src/lib/composeAttempt.ts
+++ b/packages/gateway/src/lib/composeAttempt.ts
@@ -8,7 +8,7 @@
 const MIN_DEADLINE_MS = 1;
 
 /** What an attempt adds to the request of the caller. @internal */
-export interface AttemptPlan {
+export interface AttemptParameters {
   readonly endpoint: EndpointId;
   readonly leftMs: number;
   readonly body: Buffer;
@@ -21,9 +21,9 @@
 /** Composes the request to an endpoint. @internal */
 export function composeAttempt(
   { wire }: GatewayContext,
-  { facts, workspace, rank }: ResolvedRequest,
+  { metadata, workspace, rank }: ResolvedRequest,
   request: IncomingMessage,
-  { endpoint, leftMs, body, tokens, resumeAfter }: AttemptPlan,
+  { endpoint, leftMs, body, tokens, resumeAfter }: AttemptParameters,
 ): OutgoingRequest {
   const headers = wire.endpointHeaders(request.rawHeaders, {
     endpoint,
@@ -31,14 +31,14 @@
     deadlineMs: Math.max(MIN_DEADLINE_MS, Math.floor(leftMs)),
     rank,
     bodyBytes: body.length,
-    resumeAfter: resumeAfter ?? facts.resumeAfter,
+    resumeAfter: resumeAfter ?? metadata.resumeAfter,
   });
   return {
     method: request.method ?? 'GET',
     target: request.url ?? '/',
     headers,
     body,
-    attempt: facts.attempt,
+    attempt: metadata.attempt,
     promptTokens: tokens,
     rank,
   };
--- a/packages/gateway/src/lib/describeRequest.ts
+++ b/packages/gateway/src/lib/describeRequest.ts
@@ -21,13 +21,13 @@
   resolved: ResolvedRequest | undefined,
 ): Description {
   return {
-    request: resolved?.facts.attempt,
+    request: resolved?.metadata.attempt,
     route: resolved?.route.name,
     workspace: resolved?.workspace?.name,
     pool: resolved?.target,
     rank: resolved?.rank,
-    promptTokens: resolved?.facts.promptTokens,
-    deadlineMs: resolved?.facts.deadlineMs,
+    promptTokens: resolved?.metadata.promptTokens,
+    deadlineMs: resolved?.metadata.deadlineMs,
     version: resolved?.table.version,
     listAgeMs: Math.round(directory.ageMs),
   };
--- a/packages/gateway/src/lib/placeRequest.ts
+++ b/packages/gateway/src/lib/placeRequest.ts
@@ -2,7 +2,7 @@
 import type { Endpoint } from './Endpoint';
 import type { GatewayContext } from './GatewayContext';
 import type { ResolvedRequest } from './resolveRequest';
-import type { RequestFacts } from './Wire';
+import type { RequestMetadata } from './Wire';
 
 /** An endpoint chosen for a request. @internal */
 export interface Placement {
@@ -10,16 +10,16 @@
   /** Prompt tokens that it is expected to read; 0 for plain services. */
   readonly tokens: number;
   /** Expected time until it has read them, in milliseconds; 0 for plain services. */
-  readonly readMs: number;
+  readonly prefillMs: number;
 }
 
 /** The last part of a prompt belongs to the request alone, the one before it is shared by many. */
-function costOf({ prompt, promptTokens, ...facts }: RequestFacts): PromptCost {
+function promptCostOf({ prompt, promptTokens, ...metadata }: RequestMetadata): PromptCost {
   const shared = prompt.at(-2);
   const listed = prompt.reduce((sum, { tokens }) => sum + tokens, 0);
   const own = prompt.at(-1)?.tokens ?? 0;
   const ownTokens = own + Math.max(0, promptTokens - listed);
-  const answerTokens = Math.min(facts.answerTokens, facts.expectedTokens ?? Infinity);
+  const answerTokens = Math.min(metadata.answerTokens, metadata.expectedTokens ?? Infinity);
   return { sharedPart: shared?.id, sharedTokens: shared?.tokens ?? 0, ownTokens, answerTokens };
 }
 
@@ -30,25 +30,26 @@
  */
 export function placeRequest(
   context: GatewayContext,
-  { route, facts, target, table, rank }: ResolvedRequest,
+  { route, metadata, target, table, rank }: ResolvedRequest,
   tried: ReadonlySet<string>,
 ): Placement | undefined {
   const { directory, random, dataCentre } = context;
   const untried = directory
-    .of(target)
-    .filter((endpoint) => !tried.has(endpoint.listed.id) && endpoint.hasRoom);
+    .endpointsOf(target)
+    .filter((endpoint) => !tried.has(endpoint.listed.id) && endpoint.hasFreeConnection);
   const usable = untried.filter(({ isUsable }) => isUsable);
-  const candidates = usable.length > 0 ? usable : untried.filter(({ isStaying }) => isStaying);
+  const candidates =
+    usable.length > 0 ? usable : untried.filter(({ isInService: isStaying }) => isStaying);
   const engine = table.findPool(target)?.engine;
   if (!route.hasAffinity || !engine) {
     const places = candidates.map((endpoint) => endpoint.view(dataCentre));
     const place = choosePlace(places, random.next());
-    return place && { endpoint: place.endpoint, tokens: 0, readMs: 0 };
+    return place && { endpoint: place.endpoint, tokens: 0, prefillMs: 0 };
   }
-  const viewer = { dataCentre, instances: directory.instances(), rank, slots: engine.slots };
-  const places = candidates.map((endpoint) => endpoint.engineView(viewer));
-  const choice = chooseEngine(places, costOf(facts), random.next());
+  const viewOptions = { dataCentre, instances: directory.instances(), rank, slots: engine.slots };
+  const places = candidates.map((endpoint) => endpoint.engineView(viewOptions));
+  const choice = chooseEngine(places, promptCostOf(metadata), random.next());
   return (
-    choice && { endpoint: choice.place.endpoint, tokens: choice.tokens, readMs: choice.readMs }
+    choice && { endpoint: choice.place.endpoint, tokens: choice.tokens, prefillMs: choice.readMs }
   );
 }
--- a/packages/gateway/src/lib/resolveRequest.ts
+++ b/packages/gateway/src/lib/resolveRequest.ts
@@ -6,11 +6,11 @@
 import type { PoolName } from './ids';
 import type { Route, Workspace } from './RoutingConfiguration';
 import { chooseTarget, type RoutingTable } from './RoutingTable';
-import type { RequestFacts } from './Wire';
+import type { RequestMetadata } from './Wire';
 
 /** A request together with what the configuration says of it. @internal */
 export interface ResolvedRequest {
-  readonly facts: RequestFacts;
+  readonly metadata: RequestMetadata;
   readonly table: RoutingTable;
   readonly route: Route;
   readonly workspace: Workspace | undefined;
@@ -25,19 +25,19 @@
   context: GatewayContext,
   request: IncomingMessage,
 ): Result<ResolvedRequest, Failure> {
-  if (context.isRefusing()) return fail(gatewayCodes.stopping, 'the instance is stopping');
+  if (context.isRejecting()) return fail(gatewayCodes.stopping, 'the instance is stopping');
   const table = context.table();
   if (!table) return fail(gatewayCodes.unconfigured, 'no configuration is in force');
-  const facts = context.wire.readRequest(request.rawHeaders);
+  const metadata = context.wire.readRequest(request.rawHeaders);
   const path = (request.url ?? '/').split('?', 1)[0] ?? '/';
-  const route = table.findRoute(facts.host, path);
+  const route = table.findRoute(metadata.host, path);
   if (!route) return fail(gatewayCodes.noRoute, 'no route matches');
-  const workspace = facts.key === undefined ? undefined : table.findWorkspace(facts.key);
-  if (table.needsKeys && !route.isAnonymous && !workspace) {
+  const workspace = metadata.key === undefined ? undefined : table.findWorkspace(metadata.key);
+  if (table.requiresKey && !route.isAnonymous && !workspace) {
     return fail(gatewayCodes.keyUnknown, 'the key is missing or unknown');
   }
   const target = chooseTarget(route.targets, context.random.next());
   if (!target) return fail(gatewayCodes.noEndpoint, 'the route has no pool');
-  const rank = table.urgencyOf(route, workspace);
-  return ok({ facts, table, route, workspace, rank, target: target.pool });
+  const rank = table.urgencyLevelOf(route, workspace);
+  return ok({ metadata, table, route, workspace, rank, target: target.pool });
 }
--- a/packages/gateway/src/lib/sendFailure.ts
+++ b/packages/gateway/src/lib/sendFailure.ts
@@ -8,13 +8,13 @@
   response: ServerResponse,
   { code, notRun }: Failure,
   retryMs: number | undefined,
-  isClosing: boolean,
+  closesConnection: boolean,
 ): void {
   const error = { code: code.number, type: code.name, message: code.meaning, not_run: notRun };
   const body = JSON.stringify({ error });
   const headers = ['Content-Type', 'application/json', 'Content-Length', String(body.length)];
   if (retryMs !== undefined) headers.push('Retry-After', (retryMs / SECOND_MS).toFixed(3));
-  if (isClosing) headers.push('Connection', 'close');
+  if (closesConnection) headers.push('Connection', 'close');
   response.writeHead(code.status, headers);
   response.end(body);
 }
