--- a/packages/gateway/src/lib/Endpoint.ts
+++ b/packages/gateway/src/lib/Endpoint.ts
@@ -1,5 +1,10 @@
 import type { Timer } from '@berylwood/base';
-import { CircuitBreaker, URGENCY_LEVELS, type EnginePlace, type Place } from '@berylwood/policy';
+import {
+  CircuitBreaker,
+  URGENCY_LEVELS,
+  type EngineView,
+  type EndpointView,
+} from '@berylwood/policy';
 import type { EndpointWork } from '@berylwood/registry';
 import { EndpointAgent } from './EndpointAgent';
 import { ReachProbe } from './ReachProbe';
@@ -43,11 +48,15 @@
   #listed: ListedEndpoint;
 
   /** Opens on the first connection that fails. */
-  readonly #reach = new CircuitBreaker({ failures: 1, openMs: SPARE_MS, maxOpenMs: MAX_SPARE_MS });
+  readonly #reach = new CircuitBreaker({
+    failureThreshold: 1,
+    openMs: SPARE_MS,
+    maxOpenMs: MAX_SPARE_MS,
+  });
 
   /** Opens on answers that fail in a row. */
   readonly #answers = new CircuitBreaker({
-    failures: FAILURES_IN_A_ROW,
+    failureThreshold: FAILURES_IN_A_ROW,
     openMs: SPARE_MS,
     maxOpenMs: MAX_SPARE_MS,
   });
@@ -163,7 +172,7 @@
     instances,
     rank,
     slots,
-  }: Viewer): EnginePlace & { readonly endpoint: Endpoint } {
+  }: Viewer): EngineView & { readonly endpoint: Endpoint } {
     const isFresh = this.#isShareFresh;
     // Without news of the others, they are taken to do as this instance does.
     const own = sumTo(this.#unread, rank) * (isFresh ? 1 : instances);
@@ -172,19 +181,19 @@
       queuedTokens: own + (isFresh ? sumTo(this.#shared.tokens, rank) : 0),
       running: this.requests(instances),
       slots,
-      isNear: this.#listed.dataCentre === dataCentre,
+      isLocal: this.#listed.dataCentre === dataCentre,
       endpoint: this,
     };
   }
 
-  view(dataCentre: string): Place & { readonly endpoint: Endpoint } {
+  view(dataCentre: string): EndpointView & { readonly endpoint: Endpoint } {
     const ageMs = this.#timer.now() - this.#othersAt;
     const others = this.#others * 0.5 ** (ageMs / LOAD_HALF_LIFE_MS);
     return {
       key: this.#listed.id,
       load: this.#inFlight + others,
       slots: Math.max(1, this.#listed.slots),
-      isNear: this.#listed.dataCentre === dataCentre,
+      isLocal: this.#listed.dataCentre === dataCentre,
       endpoint: this,
     };
   }
--- a/packages/gateway/src/lib/Exchange.ts
+++ b/packages/gateway/src/lib/Exchange.ts
@@ -208,12 +208,12 @@
    * Whether a request that no endpoint has got yet should be turned away. Only the least urgent
    * route of a pool is: the queue at one engine says little of the room that others have.
    */
-  #isTooLate(readMs: number): boolean {
+  #isTooLate(prefillMs: number): boolean {
     const { route, facts, table, target } = this.#parts.resolved;
     if (this.#sends > 0 || !table.isLeastUrgent(route, target)) return false;
     const { objectiveMs, timeoutMs } = route;
     const leftMs = this.#leftMs;
-    return !admits({ readMs, objectiveMs, timeoutMs, leftMs, givenMs: facts.deadlineMs });
+    return !admits({ prefillMs, objectiveMs, timeoutMs, leftMs, budgetMs: facts.deadlineMs });
   }
 
   get #parts(): { context: GatewayContext; resolved: ResolvedRequest } {
--- a/packages/gateway/src/lib/placeRequest.ts
+++ b/packages/gateway/src/lib/placeRequest.ts
@@ -1,4 +1,4 @@
-import { chooseEngine, choosePlace, type PromptCost } from '@berylwood/policy';
+import { chooseEngine, chooseEndpoint, type PromptCost } from '@berylwood/policy';
 import type { Endpoint } from './Endpoint';
 import type { GatewayContext } from './GatewayContext';
 import type { ResolvedRequest } from './resolveRequest';
@@ -42,13 +42,13 @@
   const engine = table.findPool(target)?.engine;
   if (!route.hasAffinity || !engine) {
     const places = candidates.map((endpoint) => endpoint.view(dataCentre));
-    const place = choosePlace(places, random.next());
+    const place = chooseEndpoint(places, random.next());
     return place && { endpoint: place.endpoint, tokens: 0, readMs: 0 };
   }
   const viewer = { dataCentre, instances: directory.instances(), rank, slots: engine.slots };
   const places = candidates.map((endpoint) => endpoint.engineView(viewer));
   const choice = chooseEngine(places, costOf(facts), random.next());
   return (
-    choice && { endpoint: choice.place.endpoint, tokens: choice.tokens, readMs: choice.readMs }
+    choice && { endpoint: choice.view.endpoint, tokens: choice.tokens, readMs: choice.prefillMs }
   );
 }
--- a/packages/policy/bench/decisions.ts
+++ b/packages/policy/bench/decisions.ts
@@ -38,7 +38,7 @@
   );
 }
 
-function createWork(now: number) {
+function createRandomJob(now: number) {
   const tier = 1 + random.below(TIERS);
   const workspace = random.below(WORKSPACES);
   const conversation = random.below(50);
@@ -62,21 +62,21 @@
   }));
 }
 
-interface Figures {
+interface Timings {
   readonly meanUs: number;
   readonly medianUs: number;
   readonly p99Us: number;
 }
 
-interface Scheduling {
-  readonly ending: Figures;
-  readonly arrival: Figures;
+interface SchedulingTimings {
+  readonly ending: Timings;
+  readonly arrival: Timings;
   /** Includes the routing of what is sent. */
-  readonly decision: Figures;
+  readonly decision: Timings;
 }
 
 /** Figures of the times after the warm-up. */
-function summarize(all: readonly number[]): Figures {
+function summarize(all: readonly number[]): Timings {
   const times = all.slice(WARM_UP);
   const sorted = [...times].sort((a, b) => a - b);
   const round = (us: number) => Math.round(us * 100) / 100;
@@ -86,17 +86,17 @@
 }
 
 /** Endings come one at a time; each frees a slot, and the decision fills it from the queue. */
-function measureScheduling(): Scheduling {
+function measureScheduling(): SchedulingTimings {
   const scheduler = new FairScheduler({ seed: 1 });
   scheduler.configure(createConfiguration({ classes }));
   scheduler.setCandidates(createCandidates(ENDPOINTS, { slots: SLOTS }), 0);
   const running: string[] = [];
-  const note = (decisions: readonly Decision[]) => {
+  const recordDispatches = (decisions: readonly Decision[]) => {
     for (const { type, request } of decisions) if (type === 'dispatch') running.push(request);
   };
-  for (let i = 0; i < ENDPOINTS * SLOTS; i += 1) scheduler.offer(createWork(0), 0);
-  note(scheduler.decide(0));
-  for (let i = 0; i < WAITING; i += 1) scheduler.offer(createWork(0), 0);
+  for (let i = 0; i < ENDPOINTS * SLOTS; i += 1) scheduler.offer(createRandomJob(0), 0);
+  recordDispatches(scheduler.decide(0));
+  for (let i = 0; i < WAITING; i += 1) scheduler.offer(createRandomJob(0), 0);
   const times = { ending: [] as number[], arrival: [] as number[], decision: [] as number[] };
   for (let i = 0; i < DECISIONS + WARM_UP; i += 1) {
     const now = 1 + i / 10;
@@ -105,7 +105,7 @@
     const request = running[index] as string;
     running[index] = running.at(-1) as string;
     running.pop();
-    const next = createWork(now);
+    const next = createRandomJob(now);
     const startedAt = performance.now();
     scheduler.ended({ request: asId(request), outcome: 'completed', answerTokens: 100 }, now);
     const endedAt = performance.now();
@@ -118,7 +118,7 @@
     // One call may decide on several requests: each counts with its part of the time.
     const decided = Math.max(1, decisions.length);
     times.decision.push(((decidedAt - offeredAt) * US_PER_MS) / decided);
-    note(decisions);
+    recordDispatches(decisions);
   }
   return {
     ending: summarize(times.ending),
@@ -128,13 +128,13 @@
 }
 
 /** One choice of an endpoint with the accounting of the send. */
-function measureRouting(): Figures {
+function measureRouting(): Timings {
   const router = new Router({ seed: 1 });
   router.setCandidates(createCandidates(ENDPOINTS, { slots: SLOTS }), 0);
   const times: number[] = [];
   for (let i = 0; i < DECISIONS + WARM_UP; i += 1) {
     const now = i / 10;
-    const job = createWork(now);
+    const job = createRandomJob(now);
     const startedAt = performance.now();
     const endpoint = router.select(job, now) as EndpointId;
     router.sent(job, endpoint, false, now);
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -23,7 +23,7 @@
 export { FifoLocalQueue } from './lib/local/FifoLocalQueue';
 export { OutlierDetector, type OutlierOptions } from './lib/health/OutlierDetector';
 export { CircuitBreaker, type BreakerOptions } from './lib/health/CircuitBreaker';
-export { Quarantine, type QuarantineOptions, type Standing } from './lib/health/Quarantine';
+export { Quarantine, type QuarantineOptions, type QuarantineState } from './lib/health/Quarantine';
 export {
   GRANT_TERM_MS,
   type LimitGrant,
@@ -49,22 +49,22 @@
   type RolloutOptions,
 } from './lib/scaling/RolloutPolicy';
 export {
-  PLACEMENT,
-  choosePlace,
-  rankHomes,
-  type Place,
+  DEFAULT_PLACEMENT_OPTIONS,
+  chooseEndpoint,
+  rankByHash,
+  type EndpointView,
   type PlacementOptions,
-} from './lib/placement/choosePlace';
+} from './lib/placement/chooseEndpoint';
 export {
-  ENGINE_OPTIONS,
+  DEFAULT_ENGINE_OPTIONS,
   chooseEngine,
   type EngineChoice,
   type EngineOptions,
-  type EnginePlace,
+  type EngineView,
   type PromptCost,
 } from './lib/placement/chooseEngine';
 export {
-  ADMISSION,
+  DEFAULT_ADMISSION_OPTIONS,
   admits,
   type AdmissionInput,
   type AdmissionOptions,
--- a/packages/policy/src/lib/FairScheduler.test.ts
+++ b/packages/policy/src/lib/FairScheduler.test.ts
@@ -10,7 +10,12 @@
   createJob,
   createLoad,
 } from '../fixtures';
-import { Exercise, type Arrival, type ExerciseOptions, type Trace } from '../fixtures/Exercise';
+import {
+  Simulation,
+  type Arrival,
+  type SimulationOptions,
+  type Trace,
+} from '../fixtures/Simulation';
 import { FairScheduler } from './FairScheduler';
 import type { Decision } from './Job';
 import { FairLocalQueue } from './local/FairLocalQueue';
@@ -192,10 +197,10 @@
 function runExercise(
   streams: readonly Stream[],
   endMs: number,
-  options: Partial<ExerciseOptions> & { readonly entries?: number } = {},
+  options: Partial<SimulationOptions> & { readonly entries?: number } = {},
 ): Trace[] {
   const { entries = 3, seed = 1 } = options;
-  const exercise = new Exercise({
+  const exercise = new Simulation({
     schedulers: Array.from({ length: entries }, (_, i) => new FairScheduler({ seed: i + 1 })),
     queues: Array.from(
       { length: ENDPOINTS },
--- a/packages/policy/src/lib/FairScheduler.ts
+++ b/packages/policy/src/lib/FairScheduler.ts
@@ -218,7 +218,7 @@
         return true;
       }
       const first = pool.onTime(ticket.job.tier, now);
-      const isFit = first !== undefined && this.#router.mayUse(first.job, endpoint);
+      const isFit = first !== undefined && this.#router.isEligible(first.job, endpoint);
       this.#dispatch(pool, isFit ? first : ticket, endpoint, true, now, decisions);
     }
     return true;
@@ -251,7 +251,7 @@
   #lastResort(pool: WaitingPool, { job }: Ticket, now: number): EndpointId | undefined {
     const urgent = this.#router.selectUrgent(job, now);
     if (urgent) return urgent;
-    if (!pool.hasLower(job.tier) && !this.#router.mayHaveLower(job, now)) return undefined;
+    if (!pool.hasLower(job.tier) && !this.#router.mayHaveLowerTierWork(job, now)) return undefined;
     return this.#router.selectQueue(job, now);
   }
 
--- a/packages/policy/src/lib/fair/RunTable.ts
+++ b/packages/policy/src/lib/fair/RunTable.ts
@@ -49,7 +49,8 @@
     if (!run || answerTokens <= run.answerTokens) return;
     const { job, pool } = run.ticket;
     if (run.answerTokens === 0) {
-      if (!run.isUrgent && pool.isDelayed(now - run.sentAt)) this.#router.queued(run.endpoint);
+      if (!run.isUrgent && pool.isDelayed(now - run.sentAt))
+        this.#router.recordQueueDelay(run.endpoint);
       pool.observeLead(now - run.sentAt);
     } else {
       const msPerToken = (now - run.progressedAt) / (answerTokens - run.answerTokens);
--- a/packages/policy/src/lib/health/CircuitBreaker.test.ts
+++ b/packages/policy/src/lib/health/CircuitBreaker.test.ts
@@ -2,8 +2,8 @@
 import test from 'node:test';
 import { CircuitBreaker } from './CircuitBreaker';
 
-function createOpen(): CircuitBreaker {
-  const breaker = new CircuitBreaker({ failures: 2, openMs: 100 });
+function createOpenBreaker(): CircuitBreaker {
+  const breaker = new CircuitBreaker({ failureThreshold: 2, openMs: 100 });
   breaker.failed(0);
   assert.equal(breaker.allows(0), true);
   breaker.failed(0);
@@ -11,7 +11,7 @@
 }
 
 test('failures in a row open it; one probe closes it again', () => {
-  const breaker = createOpen();
+  const breaker = createOpenBreaker();
   assert.equal(breaker.allows(99), false);
   assert.equal(breaker.allows(100), true);
   breaker.sent();
@@ -21,7 +21,7 @@
 });
 
 test('a failed probe doubles the time that it stays open', () => {
-  const breaker = createOpen();
+  const breaker = createOpenBreaker();
   breaker.allows(100);
   breaker.sent();
   breaker.failed(100);
@@ -30,7 +30,7 @@
 });
 
 test('a success between failures keeps it closed', () => {
-  const breaker = new CircuitBreaker({ failures: 2 });
+  const breaker = new CircuitBreaker({ failureThreshold: 2 });
   breaker.failed(0);
   breaker.succeeded();
   breaker.failed(0);
--- a/packages/policy/src/lib/health/CircuitBreaker.ts
+++ b/packages/policy/src/lib/health/CircuitBreaker.ts
@@ -3,14 +3,18 @@
 /** Options of a circuit breaker. @public */
 export interface BreakerOptions {
   /** Failures in a row that open the breaker. Default 3. */
-  readonly failures?: number;
+  readonly failureThreshold?: number;
   /** First time that it stays open, in milliseconds; doubles with each failed probe. Default 1000. */
   readonly openMs?: number;
   /** Longest time that it stays open, in milliseconds. Default 30000. */
   readonly maxOpenMs?: number;
 }
 
-const defaults: Required<BreakerOptions> = { failures: 3, openMs: 1_000, maxOpenMs: 30_000 };
+const defaults: Required<BreakerOptions> = {
+  failureThreshold: 3,
+  openMs: 1_000,
+  maxOpenMs: 30_000,
+};
 
 /** Closed lets all through, open none, half open one probe. */
 const machine = createMachine({
@@ -83,7 +87,7 @@
       this.#isProbing = false;
       this.#openMs = Math.min(this.#options.maxOpenMs, 2 * this.#openMs);
       this.#open('failed', now);
-    } else if (this.state === 'closed' && this.#failures >= this.#options.failures) {
+    } else if (this.state === 'closed' && this.#failures >= this.#options.failureThreshold) {
       this.#open('tripped', now);
     }
   }
--- a/packages/policy/src/lib/health/OutlierDetector.test.ts
+++ b/packages/policy/src/lib/health/OutlierDetector.test.ts
@@ -6,7 +6,7 @@
   for (let i = 0; i < 10; i += 1) {
     for (const [key, cost] of Object.entries(costs)) detector.observe(key, cost, now);
   }
-  detector.judge(now);
+  detector.evaluate(now);
 }
 
 test('ejects a member far above the median, probes it and takes it back', () => {
--- a/packages/policy/src/lib/health/OutlierDetector.ts
+++ b/packages/policy/src/lib/health/OutlierDetector.ts
@@ -59,19 +59,19 @@
     member.average += SMOOTHING * (cost - member.average);
   }
 
-  forget(key: Key): void {
+  delete(key: Key): void {
     this.#members.delete(key);
   }
 
   /** Judges all members anew; O(n log n), so it is called a few times a second at most. */
-  judge(now: number): void {
-    const judged = [...this.#members.values()].filter(({ samples }) => samples >= MIN_SAMPLES);
-    if (judged.length < MIN_MEMBERS) return;
-    judged.sort((a, b) => b.average - a.average);
-    const median = (judged[Math.floor(judged.length / 2)] as Member).average;
-    let ejected = judged.filter(({ isEjected }) => isEjected).length;
-    const limit = Math.floor(this.#options.maxEjected * judged.length);
-    for (const member of judged) {
+  evaluate(now: number): void {
+    const evaluated = [...this.#members.values()].filter(({ samples }) => samples >= MIN_SAMPLES);
+    if (evaluated.length < MIN_MEMBERS) return;
+    evaluated.sort((a, b) => b.average - a.average);
+    const median = (evaluated[Math.floor(evaluated.length / 2)] as Member).average;
+    let ejected = evaluated.filter(({ isEjected }) => isEjected).length;
+    const limit = Math.floor(this.#options.maxEjected * evaluated.length);
+    for (const member of evaluated) {
       if (member.isEjected && member.average <= this.#options.returnFactor * median) {
         member.isEjected = false;
         ejected -= 1;
--- a/packages/policy/src/lib/health/Quarantine.test.ts
+++ b/packages/policy/src/lib/health/Quarantine.test.ts
@@ -12,13 +12,13 @@
   const quarantine = new Quarantine({ holdMs: 1_000 });
   quarantine.sent('poison', e1, 0);
   quarantine.crashed(e1, ['poison', 'innocent'], 0);
-  assert.equal(quarantine.standing('poison', 0), 'suspect');
+  assert.equal(quarantine.stateOf('poison', 0), 'suspect');
   quarantine.sent('poison', e2, 10);
   quarantine.crashed(e2, ['poison'], 10);
-  assert.equal(quarantine.standing('poison', 10), 'quarantined');
+  assert.equal(quarantine.stateOf('poison', 10), 'quarantined');
   assert.equal(quarantine.mayRun('poison', e1, 10), false);
   assert.equal(quarantine.holdMs('poison', 10), 1_000);
-  assert.equal(quarantine.standing('poison', 1_010), 'unknown');
+  assert.equal(quarantine.stateOf('poison', 1_010), 'unknown');
 });
 
 test('one whole run clears an innocent suspect', () => {
@@ -26,15 +26,15 @@
   quarantine.crashed(e1, ['innocent'], 0);
   quarantine.sent('innocent', e2, 1);
   quarantine.ended('innocent', e2, true);
-  assert.equal(quarantine.standing('innocent', 2), 'cleared');
+  assert.equal(quarantine.stateOf('innocent', 2), 'cleared');
 });
 
 test('a suspicion of another process counts, and an older one does not', () => {
   const quarantine = new Quarantine();
-  quarantine.learned('poison', 2, 5_000, 0);
+  quarantine.mergeRemoteCrashes('poison', 2, 5_000, 0);
   assert.equal(quarantine.holdMs('poison', 0), 5_000);
-  quarantine.learned('other', 2, 0, 10);
-  assert.equal(quarantine.standing('other', 10), 'unknown');
+  quarantine.mergeRemoteCrashes('other', 2, 0, 10);
+  assert.equal(quarantine.stateOf('other', 10), 'unknown');
 });
 
 test('a full table takes no unknown fingerprint', () => {
--- a/packages/policy/src/lib/health/Quarantine.ts
+++ b/packages/policy/src/lib/health/Quarantine.ts
@@ -11,7 +11,7 @@
 }
 
 /** What is known of a fingerprint. @public */
-export type Standing = 'unknown' | 'cleared' | 'suspect' | 'quarantined';
+export type QuarantineState = 'unknown' | 'cleared' | 'suspect' | 'quarantined';
 
 const defaults: Required<QuarantineOptions> = {
   holdMs: 600_000,
@@ -22,8 +22,8 @@
 /** Crashes that quarantine a fingerprint; also the most endpoints that it may ever crash. */
 const MAX_CRASHES = 2;
 
-interface Case {
-  standing: Standing;
+interface FingerprintRecord {
+  quarantineState: QuarantineState;
   crashes: number;
   /** End of the suspicion or quarantine, in milliseconds. */
   until: number;
@@ -41,7 +41,7 @@
 export class Quarantine {
   readonly #options: Required<QuarantineOptions>;
 
-  readonly #cases = new Map<string, Case>();
+  readonly #records = new Map<string, FingerprintRecord>();
 
   constructor(options: QuarantineOptions = {}) {
     this.#options = { ...defaults, ...options };
@@ -49,31 +49,34 @@
 
   /** Fingerprints remembered. */
   get size(): number {
-    return this.#cases.size;
+    return this.#records.size;
   }
 
-  standing(fingerprint: string, now: number): Standing {
-    const known = this.#cases.get(fingerprint);
+  stateOf(fingerprint: string, now: number): QuarantineState {
+    const known = this.#records.get(fingerprint);
     if (!known) return 'unknown';
-    if ((known.standing === 'suspect' || known.standing === 'quarantined') && now >= known.until) {
-      known.standing = 'unknown';
+    if (
+      (known.quarantineState === 'suspect' || known.quarantineState === 'quarantined') &&
+      now >= known.until
+    ) {
+      known.quarantineState = 'unknown';
       known.crashes = 0;
     }
-    return known.standing;
+    return known.quarantineState;
   }
 
   /** Time left of a quarantine, in milliseconds; 0 when there is none. */
   holdMs(fingerprint: string, now: number): number {
-    if (this.standing(fingerprint, now) !== 'quarantined') return 0;
-    return (this.#cases.get(fingerprint)?.until ?? now) - now;
+    if (this.stateOf(fingerprint, now) !== 'quarantined') return 0;
+    return (this.#records.get(fingerprint)?.until ?? now) - now;
   }
 
   /** Whether an attempt may be sent to the endpoint now. */
   mayRun(fingerprint: string, endpoint: EndpointId, now: number): boolean {
-    const standing = this.standing(fingerprint, now);
-    if (standing === 'cleared') return true;
-    if (standing === 'quarantined') return false;
-    const known = this.#cases.get(fingerprint);
+    const quarantineState = this.stateOf(fingerprint, now);
+    if (quarantineState === 'cleared') return true;
+    if (quarantineState === 'quarantined') return false;
+    const known = this.#records.get(fingerprint);
     if (!known) return this.#hasRoom(now);
     if (known.running.has(endpoint)) return true;
     return known.crashes + known.running.size < MAX_CRASHES;
@@ -81,70 +84,75 @@
 
   /** An attempt was sent to the endpoint. */
   sent(fingerprint: string, endpoint: EndpointId, now: number): void {
-    const { running } = this.#caseOf(fingerprint, now);
+    const { running } = this.#recordOf(fingerprint, now);
     running.set(endpoint, (running.get(endpoint) ?? 0) + 1);
   }
 
   /** An attempt has ended without a crash; `isWhole` when the endpoint has run it to its end. */
-  ended(fingerprint: string, endpoint: EndpointId, isWhole: boolean): void {
-    const known = this.#cases.get(fingerprint);
+  ended(fingerprint: string, endpoint: EndpointId, isComplete: boolean): void {
+    const known = this.#records.get(fingerprint);
     if (!known) return;
-    Quarantine.#release(known, endpoint);
-    if (isWhole && known.standing !== 'quarantined') {
-      known.standing = 'cleared';
+    Quarantine.#endAttempt(known, endpoint);
+    if (isComplete && known.quarantineState !== 'quarantined') {
+      known.quarantineState = 'cleared';
       known.crashes = 0;
-    } else if (known.standing === 'unknown' && known.running.size === 0) {
-      this.#cases.delete(fingerprint);
+    } else if (known.quarantineState === 'unknown' && known.running.size === 0) {
+      this.#records.delete(fingerprint);
     }
   }
 
   /** The endpoint has crashed while these were in flight there. */
   crashed(endpoint: EndpointId, fingerprints: readonly string[], now: number): void {
     for (const fingerprint of new Set(fingerprints)) {
-      const known = this.#caseOf(fingerprint, now);
+      const known = this.#recordOf(fingerprint, now);
       known.running.delete(endpoint);
-      this.#raise(known, known.crashes + 1, now);
+      this.#setCrashes(known, known.crashes + 1, now);
     }
   }
 
   /** Another process reports crashes of the fingerprint, until a time of this process's clock. */
-  learned(fingerprint: string, crashes: number, until: number, now: number): void {
+  mergeRemoteCrashes(fingerprint: string, crashes: number, until: number, now: number): void {
     if (until <= now) return;
-    const known = this.#caseOf(fingerprint, now);
+    const known = this.#recordOf(fingerprint, now);
     if (crashes <= known.crashes) return;
-    this.#raise(known, crashes, now);
+    this.#setCrashes(known, crashes, now);
     known.until = until;
   }
 
-  #raise(known: Case, crashes: number, now: number): void {
+  #setCrashes(known: FingerprintRecord, crashes: number, now: number): void {
     const isQuarantined = crashes >= MAX_CRASHES;
     known.crashes = crashes;
-    known.standing = isQuarantined ? 'quarantined' : 'suspect';
+    known.quarantineState = isQuarantined ? 'quarantined' : 'suspect';
     known.until = now + (isQuarantined ? this.#options.holdMs : this.#options.suspectMs);
   }
 
-  #caseOf(fingerprint: string, now: number): Case {
-    const known = this.#cases.get(fingerprint);
+  #recordOf(fingerprint: string, now: number): FingerprintRecord {
+    const known = this.#records.get(fingerprint);
     if (known) return known;
     this.#hasRoom(now);
-    const created: Case = { standing: 'unknown', crashes: 0, until: 0, running: new Map() };
-    this.#cases.set(fingerprint, created);
+    const created: FingerprintRecord = {
+      quarantineState: 'unknown',
+      crashes: 0,
+      until: 0,
+      running: new Map(),
+    };
+    this.#records.set(fingerprint, created);
     return created;
   }
 
   /** Makes room by forgetting what has run whole or has lapsed; false when nothing has. */
   #hasRoom(now: number): boolean {
-    if (this.#cases.size < this.#options.capacity) return true;
-    for (const [fingerprint, { standing, running, until }] of this.#cases) {
-      const isHeld = standing !== 'cleared' && now < until;
+    if (this.#records.size < this.#options.capacity) return true;
+    for (const [fingerprint, { quarantineState, running, until }] of this.#records) {
+      const isHeld = quarantineState !== 'cleared' && now < until;
       if (isHeld || running.size > 0) continue;
-      this.#cases.delete(fingerprint);
+      this.#records.delete(fingerprint);
       return true;
     }
     return false;
   }
 
-  static #release(known: Case, endpoint: EndpointId): void {
+  static #endAttempt(known: FingerprintRecord, endpoint: EndpointId): void {
     const left = (known.running.get(endpoint) ?? 0) - 1;
     if (left > 0) known.running.set(endpoint, left);
     else known.running.delete(endpoint);
--- a/packages/policy/src/lib/placement/UrgencyScale.ts
+++ b/packages/policy/src/lib/placement/UrgencyScale.ts
@@ -27,10 +27,13 @@
     );
     const ranks = [...new Set(ordered.map(({ rank }) => rank))];
     // With more pairs than levels, only ranks of workspaces are told apart.
-    const isFine = ordered.length <= URGENCY_LEVELS;
+    const hasLevelPerPair = ordered.length <= URGENCY_LEVELS;
     const factor = Math.min(1, URGENCY_LEVELS / ranks.length);
     ordered.forEach((pair, at) => {
-      this.#levels.set(keyOf(pair), isFine ? at : Math.floor(ranks.indexOf(pair.rank) * factor));
+      this.#levels.set(
+        keyOf(pair),
+        hasLevelPerPair ? at : Math.floor(ranks.indexOf(pair.rank) * factor),
+      );
     });
   }
 
--- a/packages/policy/src/lib/placement/admits.ts
+++ b/packages/policy/src/lib/placement/admits.ts
@@ -1,7 +1,7 @@
 /** What is known of a request when it could be handed to an endpoint. @public */
 export interface AdmissionInput {
   /** Expected time until the endpoint has read its prompt, in milliseconds. */
-  readonly readMs: number;
+  readonly prefillMs: number;
   /** Time within which its answer should begin. */
   readonly objectiveMs: number;
   /** Time that its route allows in all. */
@@ -9,15 +9,15 @@
   /** Time that is left of it. */
   readonly leftMs: number;
   /** Time that the caller gave with it; less than the route allows if it has tried before. */
-  readonly givenMs: number | undefined;
+  readonly budgetMs: number | undefined;
 }
 
 /** Options of the admission. @public */
 export interface AdmissionOptions {
   /** Part of the objective that the reading of a first try may take. */
-  readonly readShare: number;
+  readonly firstTryShare: number;
   /** The same for callers that come back: they have waited already. */
-  readonly returningShare: number;
+  readonly retryShare: number;
 }
 
 /**
@@ -26,13 +26,13 @@
  * room for more urgent ones that pass it.
  * @public
  */
-export const ADMISSION: AdmissionOptions = { readShare: 0.35, returningShare: 0.5 };
+export const DEFAULT_ADMISSION_OPTIONS: AdmissionOptions = { firstTryShare: 0.35, retryShare: 0.5 };
 
 /** Part of the route's time below which a caller's own time shows that it has tried before. */
-const FIRST_TRY_SHARE = 0.85;
+const FIRST_TRY_DEADLINE_SHARE = 0.85;
 
 /** Part of the time left that reading may take in any case. */
-const LEFT_SHARE = 0.7;
+const REMAINING_TIME_SHARE = 0.7;
 
 /**
  * Whether a request is let in. Load pattern: more long prompts arrive than engines can read. If all
@@ -42,9 +42,12 @@
  * that is much longer for them stays that long, and everyone's answers begin late.
  * @public
  */
-export function admits(input: AdmissionInput, options: AdmissionOptions = ADMISSION): boolean {
-  const { readMs, objectiveMs, timeoutMs, leftMs, givenMs = timeoutMs } = input;
-  const isReturning = givenMs < timeoutMs * FIRST_TRY_SHARE;
-  const share = isReturning ? options.returningShare : options.readShare;
-  return readMs <= Math.min(objectiveMs * share, leftMs * LEFT_SHARE);
+export function admits(
+  input: AdmissionInput,
+  options: AdmissionOptions = DEFAULT_ADMISSION_OPTIONS,
+): boolean {
+  const { prefillMs, objectiveMs, timeoutMs, leftMs, budgetMs = timeoutMs } = input;
+  const isRetry = budgetMs < timeoutMs * FIRST_TRY_DEADLINE_SHARE;
+  const share = isRetry ? options.retryShare : options.firstTryShare;
+  return prefillMs <= Math.min(objectiveMs * share, leftMs * REMAINING_TIME_SHARE);
 }
--- a/packages/policy/src/lib/placement/choosePlace.test.ts
+++ b/packages/policy/src/lib/placement/chooseEndpoint.test.ts
@@ -1,33 +1,33 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Random } from '@berylwood/base';
-import { choosePlace, rankHomes, type Place } from './choosePlace';
+import { chooseEndpoint, rankByHash, type EndpointView } from './chooseEndpoint';
 import { retryAfterMs } from './retryAfter';
 
-function place(key: string, load = 0): Place {
-  return { key, load, slots: 64, isNear: true };
+function createView(key: string, load = 0): EndpointView {
+  return { key, load, slots: 64, isLocal: true };
 }
 
-function places(loads: readonly number[]): Place[] {
-  return loads.map((load, at) => place(`e-${at}`, load));
+function createViews(loads: readonly number[]): EndpointView[] {
+  return loads.map((load, at) => createView(`e-${at}`, load));
 }
 
 test('an endpoint that leaves moves only the parts that it was home to', () => {
-  const all = places([0, 0, 0, 0, 0, 0, 0, 0]);
+  const all = createViews([0, 0, 0, 0, 0, 0, 0, 0]);
   const rest = all.slice(1);
   for (let part = 0; part < 200; part += 1) {
-    const [before] = rankHomes(all, `part-${part}`, 1);
-    const [after] = rankHomes(rest, `part-${part}`, 1);
+    const [before] = rankByHash(all, `part-${part}`, 1);
+    const [after] = rankByHash(rest, `part-${part}`, 1);
     if (before?.key !== 'e-0') assert.equal(after?.key, before?.key);
   }
 });
 
 test('the least loaded endpoint is chosen', () => {
-  assert.equal(choosePlace(places([3, 1, 2]), 0.5)?.key, 'e-1');
+  assert.equal(chooseEndpoint(createViews([3, 1, 2]), 0.5)?.key, 'e-1');
 });
 
 test('no place is chosen when there is none', () => {
-  assert.equal(choosePlace([], 0.5), undefined);
+  assert.equal(chooseEndpoint([], 0.5), undefined);
 });
 
 test('refused callers return spread over the time in which room comes', () => {
--- a/packages/policy/src/lib/placement/choosePlace.ts
+++ b/packages/policy/src/lib/placement/chooseEndpoint.ts
@@ -1,5 +1,5 @@
 /** An endpoint as a candidate for a request. @public */
-export interface Place {
+export interface EndpointView {
   /** Key for the ranking by hash; the same on all instances. */
   readonly key: string;
   /** Estimated requests that run or wait there, from all instances. */
@@ -7,17 +7,17 @@
   /** Requests that it runs at a time. */
   readonly slots: number;
   /** Whether it lies in the data centre of the instance that asks. */
-  readonly isNear: boolean;
+  readonly isLocal: boolean;
 }
 
 /** Options of the placement. @public */
 export interface PlacementOptions {
   /** Lead that a far endpoint must have over a near one, as a share of its slots. */
-  readonly farPenalty: number;
+  readonly remotePenalty: number;
 }
 
 /** Defaults. @public */
-export const PLACEMENT: PlacementOptions = { farPenalty: 0 };
+export const DEFAULT_PLACEMENT_OPTIONS: PlacementOptions = { remotePenalty: 0 };
 
 /** 32-bit FNV-1a with a final mix: ranks places by prompt the same way on all instances. */
 function hash(text: string): number {
@@ -33,16 +33,16 @@
 }
 
 /** The places that keep a prompt warm, best first (rendezvous hashing). @public */
-export function rankHomes<P extends { readonly key: string }>(
-  places: readonly P[],
+export function rankByHash<P extends { readonly key: string }>(
+  views: readonly P[],
   prompt: string,
   count: number,
 ): P[] {
-  return places
-    .map((place): [number, P] => [hash(`${prompt}/${place.key}`), place])
+  return views
+    .map((view): [number, P] => [hash(`${prompt}/${view.key}`), view])
     .sort(([a], [b]) => b - a)
     .slice(0, count)
-    .map(([, place]) => place);
+    .map(([, view]) => view);
 }
 
 /**
@@ -51,19 +51,19 @@
  * @param draw uniform in [0, 1): spreads ties over the instances that decide at the same time
  * @public
  */
-export function choosePlace<P extends Place>(
-  places: readonly P[],
+export function chooseEndpoint<P extends EndpointView>(
+  views: readonly P[],
   draw: number,
-  options: PlacementOptions = PLACEMENT,
+  options: PlacementOptions = DEFAULT_PLACEMENT_OPTIONS,
 ): P | undefined {
-  const start = Math.floor(draw * places.length);
+  const start = Math.floor(draw * views.length);
   let best: P | undefined;
   let bestCost = Infinity;
-  for (let step = 0; step < places.length; step += 1) {
-    const place = places[(start + step) % places.length] as P;
-    const cost = place.load / place.slots + (place.isNear ? 0 : options.farPenalty);
+  for (let step = 0; step < views.length; step += 1) {
+    const view = views[(start + step) % views.length] as P;
+    const cost = view.load / view.slots + (view.isLocal ? 0 : options.remotePenalty);
     if (cost < bestCost) {
-      best = place;
+      best = view;
       bestCost = cost;
     }
   }
--- a/packages/policy/src/lib/placement/chooseEngine.ts
+++ b/packages/policy/src/lib/placement/chooseEngine.ts
@@ -1,7 +1,7 @@
-import { rankHomes } from './choosePlace';
+import { rankByHash } from './chooseEndpoint';
 
 /** A model engine as a candidate for a request. @public */
-export interface EnginePlace {
+export interface EngineView {
   /** Key for the ranking by hash; the same on all instances. */
   readonly key: string;
   /** Prompt tokens that all instances have sent there and that are not read yet, as estimated. */
@@ -11,7 +11,7 @@
   /** Requests that it runs at a time. */
   readonly slots: number;
   /** Whether it lies in the data centre of the instance that asks. */
-  readonly isNear: boolean;
+  readonly isLocal: boolean;
 }
 
 /** A prompt as the placement sees it. @public */
@@ -35,54 +35,61 @@
   /** Growth of a step by each request that runs, in milliseconds. */
   readonly stepMsPerRequest: number;
   /** Endpoints, in the order of their rank, that may have read a shared part, and how probably. */
-  readonly warmth: readonly number[];
+  readonly cacheHitProbabilities: readonly number[];
   /**
    * Weight of tokens that are read once more because a prompt leaves its home: they delay all that
    * is queued behind them, too.
    */
-  readonly rereadWeight: number;
+  readonly recomputeWeight: number;
   /** Weight of the time by which the batch slows the answer down; 0 leaves batches out. */
   readonly batchWeight: number;
   /** Time until one of the requests of a full batch ends, in milliseconds. */
-  readonly turnMs: number;
+  readonly slotReleaseMs: number;
   /** Lead that a far engine must have, in milliseconds: traffic between data centres costs. */
-  readonly farMs: number;
+  readonly remoteCostMs: number;
 }
 
 /** Defaults; the times of a step are those of the engines' data sheet. @public */
-export const ENGINE_OPTIONS: EngineOptions = {
+export const DEFAULT_ENGINE_OPTIONS: EngineOptions = {
   chunkTokens: 1024,
   stepMs: 15.5,
   stepMsPerRequest: 0.11,
-  warmth: [1, 0.5, 0.25],
-  rereadWeight: 150,
+  cacheHitProbabilities: [1, 0.5, 0.25],
+  recomputeWeight: 150,
   batchWeight: 1,
   // Requests stay for 1.5 s on average, in 64 slots.
-  turnMs: 25,
-  farMs: 0,
+  slotReleaseMs: 25,
+  remoteCostMs: 0,
 };
 
 /** Tokens that an engine will read for a prompt, given the chance that it keeps the shared part. */
-function tokensToRead({ ownTokens, sharedTokens }: PromptCost, warmth: number): number {
-  return ownTokens + sharedTokens * (1 - warmth);
+function expectedPrefillTokens(
+  { ownTokens, sharedTokens }: PromptCost,
+  cacheHitProbability: number,
+): number {
+  return ownTokens + sharedTokens * (1 - cacheHitProbability);
 }
 
 /**
  * Time that an answer loses to the batch it joins, in milliseconds: each request of the batch
  * lengthens each of its steps, and beyond the slots it waits for one to end, or takes its place.
  */
-function batchMs({ answerTokens }: PromptCost, place: EnginePlace, options: EngineOptions): number {
-  const slowerMs = answerTokens * options.stepMsPerRequest * Math.min(place.running, place.slots);
-  const waitMs = Math.max(0, place.running + 1 - place.slots) * options.turnMs;
+function batchDelayMs(
+  { answerTokens }: PromptCost,
+  view: EngineView,
+  options: EngineOptions,
+): number {
+  const slowerMs = answerTokens * options.stepMsPerRequest * Math.min(view.running, view.slots);
+  const waitMs = Math.max(0, view.running + 1 - view.slots) * options.slotReleaseMs;
   return slowerMs + waitMs;
 }
 
 /** The choice of an engine, and the tokens it is expected to read. @public */
-export interface EngineChoice<P extends EnginePlace> {
-  readonly place: P;
+export interface EngineChoice<P extends EngineView> {
+  readonly view: P;
   readonly tokens: number;
   /** Expected time until the prompt is read there, in milliseconds. */
-  readonly readMs: number;
+  readonly prefillMs: number;
 }
 
 /**
@@ -96,28 +103,34 @@
  * @param draw uniform in [0, 1): spreads ties over the instances that decide at the same time
  * @public
  */
-export function chooseEngine<P extends EnginePlace>(
-  places: readonly P[],
+export function chooseEngine<P extends EngineView>(
+  views: readonly P[],
   prompt: PromptCost,
   draw: number,
-  options: EngineOptions = ENGINE_OPTIONS,
+  options: EngineOptions = DEFAULT_ENGINE_OPTIONS,
 ): EngineChoice<P> | undefined {
   const { sharedPart, sharedTokens } = prompt;
   const hasShared = sharedPart !== undefined && sharedTokens > 0;
-  const homes = hasShared ? rankHomes(places, sharedPart, options.warmth.length) : [];
-  const start = Math.floor(draw * places.length);
+  const preferred = hasShared
+    ? rankByHash(views, sharedPart, options.cacheHitProbabilities.length)
+    : [];
+  const start = Math.floor(draw * views.length);
   let best: (EngineChoice<P> & { costMs: number }) | undefined;
-  for (let step = 0; step < places.length; step += 1) {
-    const place = places[(start + step) % places.length] as P;
-    const rank = homes.indexOf(place);
-    const tokens = tokensToRead(prompt, rank < 0 ? 0 : (options.warmth[rank] ?? 0));
-    const tokenMs =
-      (options.stepMs + options.stepMsPerRequest * place.running) / options.chunkTokens;
-    const readMs = (place.queuedTokens + tokens) * tokenMs;
-    const rereadMs = (tokens - prompt.ownTokens) * (options.rereadWeight - 1) * tokenMs;
-    const answerMs = batchMs(prompt, place, options) * options.batchWeight;
-    const costMs = readMs + rereadMs + answerMs + (place.isNear ? 0 : options.farMs);
-    if (!best || costMs < best.costMs) best = { place, tokens, readMs, costMs };
+  for (let step = 0; step < views.length; step += 1) {
+    const view = views[(start + step) % views.length] as P;
+    const rank = preferred.indexOf(view);
+    const tokens = expectedPrefillTokens(
+      prompt,
+      rank < 0 ? 0 : (options.cacheHitProbabilities[rank] ?? 0),
+    );
+    const msPerToken =
+      (options.stepMs + options.stepMsPerRequest * view.running) / options.chunkTokens;
+    const prefillMs = (view.queuedTokens + tokens) * msPerToken;
+    const recomputeMs = (tokens - prompt.ownTokens) * (options.recomputeWeight - 1) * msPerToken;
+    const batchCostMs = batchDelayMs(prompt, view, options) * options.batchWeight;
+    const costMs =
+      prefillMs + recomputeMs + batchCostMs + (view.isLocal ? 0 : options.remoteCostMs);
+    if (!best || costMs < best.costMs) best = { view, tokens, prefillMs, costMs };
   }
   return best;
 }
--- a/packages/policy/src/lib/routing/BlockTable.ts
+++ b/packages/policy/src/lib/routing/BlockTable.ts
@@ -4,10 +4,10 @@
 const WAYS = 4;
 
 /** Endpoints remembered for a block. */
-const ENDPOINTS = 4;
+const ENDPOINTS_PER_BLOCK = 4;
 
 /** Words of an entry, which lie together so that a lookup reads few cache lines. */
-const WORDS = 8;
+const WORDS_PER_ENTRY = 8;
 
 /** Offsets within an entry; a tag of 0 marks an empty one. */
 const TAG = 0;
@@ -15,11 +15,11 @@
 const USED_AT = 2;
 const FIRST_ENDPOINT = 3;
 
-const PLACE_MULTIPLIER = 0x01000193;
+const SET_MULTIPLIER = 0x01000193;
 
 const TAG_MULTIPLIER = 0x9e3779b1;
 
-const NONE = -1;
+const NOT_FOUND = -1;
 
 /**
  * Bounded set-associative table from (workspace, block digest) to the endpoints that may hold the
@@ -38,46 +38,46 @@
   #clock = 0;
 
   /** Place and tag of the digest that was hashed last. */
-  #place = 0;
+  #setIndex = 0;
 
   #tag = 0;
 
-  /** @param places number of places, a power of 2; each holds four blocks */
-  constructor(places: number) {
-    this.#mask = places - 1;
-    this.#words = new Uint32Array(places * WAYS * WORDS);
+  /** @param sets number of places, a power of 2; each holds four blocks */
+  constructor(sets: number) {
+    this.#mask = sets - 1;
+    this.#words = new Uint32Array(sets * WAYS * WORDS_PER_ENTRY);
   }
 
   /** Endpoints of a block, the latest first; empty when it is not known. */
   get(workspace: number, digest: string): number[] {
     const entry = this.#find(workspace, digest);
-    if (entry === NONE) return [];
+    if (entry === NOT_FOUND) return [];
     const start = entry + FIRST_ENDPOINT;
-    const endpoints = this.#words.subarray(start, start + ENDPOINTS);
+    const endpoints = this.#words.subarray(start, start + ENDPOINTS_PER_BLOCK);
     return Array.from(endpoints).filter((endpoint) => endpoint !== 0);
   }
 
   has(workspace: number, digest: string): boolean {
-    return this.#find(workspace, digest) !== NONE;
+    return this.#find(workspace, digest) !== NOT_FOUND;
   }
 
   /** Notes that the endpoint holds a block of the workspace. */
   add(workspace: number, digest: string, endpoint: number): void {
     const known = this.#find(workspace, digest);
-    const entry = known === NONE ? this.#replace(workspace) : known;
+    const entry = known === NOT_FOUND ? this.#replaceOldest(workspace) : known;
     this.#clock += 1;
     this.#words[entry + USED_AT] = this.#clock;
-    this.#putFirst(entry, endpoint);
+    this.#moveToFront(entry, endpoint);
   }
 
   /** Notes an event on a block in whichever workspaces it is known. */
   change(digest: string, endpoint: number, isStored: boolean): void {
     this.#hash(digest);
-    const end = this.#end();
-    for (let entry = this.#start(); entry < end; entry += WORDS) {
+    const end = this.#setEnd();
+    for (let entry = this.#setStart(); entry < end; entry += WORDS_PER_ENTRY) {
       if (this.#words[entry + TAG] !== this.#tag) continue;
-      if (isStored) this.#putFirst(entry, endpoint);
-      else this.#drop(entry, endpoint);
+      if (isStored) this.#moveToFront(entry, endpoint);
+      else this.#removeEndpoint(entry, endpoint);
     }
   }
 
@@ -85,31 +85,31 @@
   #find(workspace: number, digest: string): number {
     this.#hash(digest);
     const words = this.#words;
-    const end = this.#end();
-    for (let entry = this.#start(); entry < end; entry += WORDS) {
+    const end = this.#setEnd();
+    for (let entry = this.#setStart(); entry < end; entry += WORDS_PER_ENTRY) {
       if (words[entry + TAG] === this.#tag && words[entry + WORKSPACE] === workspace) return entry;
     }
-    return NONE;
+    return NOT_FOUND;
   }
 
   /** Takes the least recently used entry at the place of the digest that was hashed last. */
-  #replace(workspace: number): number {
+  #replaceOldest(workspace: number): number {
     const words = this.#words;
-    const end = this.#end();
-    let oldest = this.#start();
-    for (let entry = oldest + WORDS; entry < end; entry += WORDS) {
+    const end = this.#setEnd();
+    let oldest = this.#setStart();
+    for (let entry = oldest + WORDS_PER_ENTRY; entry < end; entry += WORDS_PER_ENTRY) {
       if ((words[entry + USED_AT] as number) < (words[oldest + USED_AT] as number)) oldest = entry;
     }
     words[oldest + TAG] = this.#tag;
     words[oldest + WORKSPACE] = workspace;
-    for (let i = 0; i < ENDPOINTS; i += 1) words[oldest + FIRST_ENDPOINT + i] = 0;
+    for (let i = 0; i < ENDPOINTS_PER_BLOCK; i += 1) words[oldest + FIRST_ENDPOINT + i] = 0;
     return oldest;
   }
 
-  #putFirst(entry: number, endpoint: number): void {
+  #moveToFront(entry: number, endpoint: number): void {
     const start = entry + FIRST_ENDPOINT;
     let moved = endpoint;
-    for (let i = start; i < start + ENDPOINTS; i += 1) {
+    for (let i = start; i < start + ENDPOINTS_PER_BLOCK; i += 1) {
       const old = this.#words[i] as number;
       this.#words[i] = moved;
       if (old === endpoint) return;
@@ -117,10 +117,10 @@
     }
   }
 
-  #drop(entry: number, endpoint: number): void {
+  #removeEndpoint(entry: number, endpoint: number): void {
     const start = entry + FIRST_ENDPOINT;
     let kept = start;
-    for (let i = start; i < start + ENDPOINTS; i += 1) {
+    for (let i = start; i < start + ENDPOINTS_PER_BLOCK; i += 1) {
       const old = this.#words[i] as number;
       this.#words[i] = 0;
       if (old === endpoint || old === 0) continue;
@@ -133,12 +133,12 @@
   }
 
   /** First word of the place of the digest that was hashed last. */
-  #start(): number {
-    return this.#place * WAYS * WORDS;
+  #setStart(): number {
+    return this.#setIndex * WAYS * WORDS_PER_ENTRY;
   }
 
-  #end(): number {
-    return this.#start() + WAYS * WORDS;
+  #setEnd(): number {
+    return this.#setStart() + WAYS * WORDS_PER_ENTRY;
   }
 
   /** Two independent 32-bit hashes of the digest, for its place and its tag. */
@@ -147,11 +147,11 @@
     let b = 0x2545f491;
     for (let i = 0; i < digest.length; i += 1) {
       const unit = digest.charCodeAt(i);
-      a = Math.imul(a ^ unit, PLACE_MULTIPLIER);
+      a = Math.imul(a ^ unit, SET_MULTIPLIER);
       b = Math.imul(b + unit, TAG_MULTIPLIER);
       b ^= b >>> 15;
     }
-    this.#place = (a ^ (a >>> 16)) & this.#mask;
+    this.#setIndex = (a ^ (a >>> 16)) & this.#mask;
     this.#tag = b >>> 0 || 1;
   }
 }
--- a/packages/policy/src/lib/routing/EndpointLoad.ts
+++ b/packages/policy/src/lib/routing/EndpointLoad.ts
@@ -2,13 +2,13 @@
 import type { Candidate } from '../Job';
 
 /** Reports older than this are not relied on for credits alone, in milliseconds. */
-const STALE_MS = 3_000;
+const STALE_REPORT_MS = 3_000;
 
 /**
  * Time on the way, in milliseconds: what was sent less than this before a report arrived is taken
  * to be missing from it.
  */
-const TRANSIT_MS = 20;
+const REPORT_TRANSIT_MS = 20;
 
 /** Part of the window that is kept when an endpoint refuses. */
 const WINDOW_DECREASE = 0.5;
@@ -17,7 +17,7 @@
 const WINDOW_DELAY_DECREASE = 0.7;
 
 /** Lowest tier of the configuration's schema. */
-const LAST_TIER = 9;
+const LOWEST_TIER = 9;
 
 /**
  * What an entry knows of the load of one endpoint: the latest report, which lags, plus what the
@@ -33,20 +33,20 @@
   reportedAt = -Infinity;
 
   /** Sends that the latest report does not contain. */
-  #unseen = 0;
+  #unreportedSends = 0;
 
   /** Times of the latest sends, which a report that arrives now may not contain yet. */
-  #inTransit: number[] = [];
+  #recentSendTimes: number[] = [];
 
-  #endedSince = 0;
+  #endedSinceReport = 0;
 
   /** Sends beyond the credits since the latest report, by tier. */
-  readonly #urgentSends = new Uint32Array(LAST_TIER + 1);
+  readonly #urgentSends = new Uint32Array(LOWEST_TIER + 1);
 
   /** Tiers of this entry's own requests there. */
   readonly #running = new Map<RequestId, number>();
 
-  readonly #runningByTier = new Uint32Array(LAST_TIER + 1);
+  readonly #runningByTier = new Uint32Array(LOWEST_TIER + 1);
 
   /** Suspects of this entry that run there. */
   suspects = 0;
@@ -69,9 +69,11 @@
   reported(load: Load, at: number): void {
     this.load = load;
     this.reportedAt = at;
-    this.#inTransit = this.#inTransit.filter((sentAt) => sentAt > at - TRANSIT_MS);
-    this.#unseen = this.#inTransit.length;
-    this.#endedSince = 0;
+    this.#recentSendTimes = this.#recentSendTimes.filter(
+      (sentAt) => sentAt > at - REPORT_TRANSIT_MS,
+    );
+    this.#unreportedSends = this.#recentSendTimes.length;
+    this.#endedSinceReport = 0;
     this.#urgentSends.fill(0);
   }
 
@@ -79,9 +81,10 @@
     if (isUrgent) this.#urgentSends[tier] = (this.#urgentSends[tier] ?? 0) + 1;
     this.#running.set(request, tier);
     this.#runningByTier[tier] = (this.#runningByTier[tier] ?? 0) + 1;
-    this.#unseen += 1;
-    while ((this.#inTransit[0] ?? now) < now - TRANSIT_MS) this.#inTransit.shift();
-    this.#inTransit.push(now);
+    this.#unreportedSends += 1;
+    while ((this.#recentSendTimes[0] ?? now) < now - REPORT_TRANSIT_MS)
+      this.#recentSendTimes.shift();
+    this.#recentSendTimes.push(now);
   }
 
   ended(request: RequestId, outcome: 'completed' | 'cancelled' | 'refused' | 'failed'): void {
@@ -89,7 +92,7 @@
     if (tier === undefined) return;
     this.#running.delete(request);
     this.#runningByTier[tier] = (this.#runningByTier[tier] ?? 1) - 1;
-    this.#endedSince += 1;
+    this.#endedSinceReport += 1;
     this.#urgentSends[tier] = Math.max(0, (this.#urgentSends[tier] ?? 0) - 1);
     if (outcome === 'refused') this.#window = Math.max(1, this.#window * WINDOW_DECREASE);
     if (outcome === 'completed') {
@@ -98,42 +101,45 @@
   }
 
   /** A request has waited there although there should have been room for it. */
-  queued(): void {
+  recordQueueDelay(): void {
     this.#window = Math.max(1, this.#window * WINDOW_DELAY_DECREASE);
   }
 
   isStale(now: number): boolean {
-    return now - this.reportedAt > STALE_MS;
+    return now - this.reportedAt > STALE_REPORT_MS;
   }
 
   /**
    * Requests of the tier that may be sent now without exceeding the endpoint's slots. What waits
    * there in lower tiers does not count, since the sidecar lets the request go before it.
    */
-  room(tier: number, now: number): number {
+  availableSlots(tier: number, now: number): number {
     if (!this.isOpen) return 0;
     const own = this.#running.size;
     if (!this.load || this.isStale(now)) return Math.floor(this.#window) - own;
     const { running, waiting, waitingTier, credits } = this.load;
-    const ahead = waitingTier > tier ? 0 : waiting;
-    const free = waiting > 0 ? this.slots - running - ahead : credits;
-    return Math.min(free - this.#unseen + this.#endedSince, Math.ceil(this.#window) - own);
+    const competing = waitingTier > tier ? 0 : waiting;
+    const free = waiting > 0 ? this.slots - running - competing : credits;
+    return Math.min(
+      free - this.#unreportedSends + this.#endedSinceReport,
+      Math.ceil(this.#window) - own,
+    );
   }
 
   /** Expected requests there, running and waiting, per slot. */
-  perSlot(): number {
+  loadPerSlot(): number {
     const own = this.#running.size;
     if (!this.load) return own / this.slots;
     const { running, waiting } = this.load;
-    const all = running + waiting + this.#unseen - this.#endedSince;
-    return Math.max(own, all) / this.slots;
+    const expectedRequests = running + waiting + this.#unreportedSends - this.#endedSinceReport;
+    return Math.max(own, expectedRequests) / this.slots;
   }
 
   /** Lowest (least important) tier known to run there and to be preemptable, or 0. */
   lowestRunningTier(now: number): number {
     // The sidecar knows which attempts may be preempted, this entry only which ones it has sent.
     if (this.load && !this.isStale(now)) return this.load.runningTier;
-    for (let tier = LAST_TIER; tier > 0; tier -= 1) {
+    for (let tier = LOWEST_TIER; tier > 0; tier -= 1) {
       if ((this.#runningByTier[tier] ?? 0) > 0) return tier;
     }
     return 0;
@@ -141,7 +147,7 @@
 
   /** Whether something waits there, or was sent beyond the credits since the report. */
   get hasQueue(): boolean {
-    return (this.load?.waiting ?? 0) > 0 || this.urgentSends(LAST_TIER) > 0;
+    return (this.load?.waiting ?? 0) > 0 || this.urgentSends(LOWEST_TIER) > 0;
   }
 
   /** Sends of the tier and higher ones beyond the credits since the latest report. */
@@ -152,13 +158,13 @@
   }
 
   /** Whether work of the tier or a higher one waits there already, for the next slot. */
-  isClaimed(tier: number): boolean {
+  hasWaitingAtOrAbove(tier: number): boolean {
     const waitingTier = this.load?.waitingTier ?? 0;
     return waitingTier > 0 && waitingTier <= tier;
   }
 
   /** Whether lower work than the tier is known to run or wait there. */
-  hasLower(tier: number, now: number): boolean {
+  hasLowerTierWork(tier: number, now: number): boolean {
     if (this.lowestRunningTier(now) > tier) return true;
     return !this.isStale(now) && (this.load?.waitingTier ?? 0) > tier;
   }
--- a/packages/policy/src/lib/routing/PrefixIndex.ts
+++ b/packages/policy/src/lib/routing/PrefixIndex.ts
@@ -2,7 +2,7 @@
 import { BlockTable } from './BlockTable';
 
 /** Places of the block table: 65,536 blocks in all. */
-const DEFAULT_PLACES = 16_384;
+const DEFAULT_SETS = 16_384;
 
 /** Blocks at the beginning of a prompt that are all remembered. */
 const DENSE_DEPTHS = 4;
@@ -28,12 +28,12 @@
 const noMatch: PrefixMatch = { endpoints: [], length: 0 };
 
 /** Small numbers for ids, from 1, in order of first use. */
-class Numbering<Key> {
+class Interner<Key> {
   readonly #numbers = new Map<Key, number>();
 
   readonly #keys: Key[] = [];
 
-  numberOf(key: Key): number {
+  intern(key: Key): number {
     const known = this.#numbers.get(key);
     if (known !== undefined) return known;
     this.#keys.push(key);
@@ -56,44 +56,45 @@
 export class PrefixIndex {
   readonly #table: BlockTable;
 
-  readonly #workspaces = new Numbering<WorkspaceId>();
+  readonly #workspaces = new Interner<WorkspaceId>();
 
-  readonly #endpoints = new Numbering<EndpointId>();
+  readonly #endpoints = new Interner<EndpointId>();
 
-  /** @param places size of the table, a power of 2; each place holds four blocks */
-  constructor(places = DEFAULT_PLACES) {
-    this.#table = new BlockTable(places);
+  /** @param sets size of the table, a power of 2; each place holds four blocks */
+  constructor(sets = DEFAULT_SETS) {
+    this.#table = new BlockTable(sets);
   }
 
   /** Endpoints with the longest known prefix; block digests are chained, so bisection finds it. */
   find(workspace: WorkspaceId, blocks: readonly string[]): PrefixMatch {
-    const owner = this.#workspaces.numberOf(workspace);
+    const workspaceNumber = this.#workspaces.intern(workspace);
     let low = 0;
     let high = countDepths(blocks);
     while (low < high) {
       const middle = Math.ceil((low + high) / 2);
-      if (this.#table.has(owner, blockAt(blocks, middle))) low = middle;
+      if (this.#table.has(workspaceNumber, blockAt(blocks, middle))) low = middle;
       else high = middle - 1;
     }
     if (low === 0) return noMatch;
-    const numbers = this.#table.get(owner, blockAt(blocks, low));
+    const numbers = this.#table.get(workspaceNumber, blockAt(blocks, low));
     const endpoints = numbers.map((number) => this.#endpoints.keyOf(number));
     return { endpoints, length: DEPTHS[low - 1] as number };
   }
 
   /** A prompt was sent to the endpoint, which will hold its blocks. */
   sent(workspace: WorkspaceId, blocks: readonly string[], endpoint: EndpointId): void {
-    const owner = this.#workspaces.numberOf(workspace);
-    const holder = this.#endpoints.numberOf(endpoint);
+    const workspaceNumber = this.#workspaces.intern(workspace);
+    const endpointNumber = this.#endpoints.intern(endpoint);
     const count = countDepths(blocks);
-    for (let i = 1; i <= count; i += 1) this.#table.add(owner, blockAt(blocks, i), holder);
+    for (let i = 1; i <= count; i += 1)
+      this.#table.add(workspaceNumber, blockAt(blocks, i), endpointNumber);
   }
 
   /** Takes in cache events; digests that no workspace of this entry has sent are left out. */
   changed(endpoint: EndpointId, events: readonly CacheEvent[]): void {
-    const holder = this.#endpoints.numberOf(endpoint);
+    const endpointNumber = this.#endpoints.intern(endpoint);
     for (const { kind, blocks } of events) {
-      for (const digest of blocks) this.#table.change(digest, holder, kind === 'stored');
+      for (const digest of blocks) this.#table.change(digest, endpointNumber, kind === 'stored');
     }
   }
 }
--- a/packages/policy/src/lib/routing/RendezvousHash.test.ts
+++ b/packages/policy/src/lib/routing/RendezvousHash.test.ts
@@ -11,9 +11,9 @@
   const reversed = create([...members].reverse());
   const counts = new Map<string, number>();
   for (const key of keys) {
-    const home = hash.find(key) as string;
-    assert.equal(reversed.find(key), home);
-    counts.set(home, (counts.get(home) ?? 0) + 1);
+    const owner = hash.find(key) as string;
+    assert.equal(reversed.find(key), owner);
+    counts.set(owner, (counts.get(owner) ?? 0) + 1);
   }
   assert.ok(
     [...counts.values()].every((count) => count > 140 && count < 260),
--- a/packages/policy/src/lib/routing/Router.test.ts
+++ b/packages/policy/src/lib/routing/Router.test.ts
@@ -31,8 +31,8 @@
 
 test('entries agree on the home of a prefix without talking', () => {
   const job = createJob({ blocks, promptTokens: 4_000 });
-  const homes = [1, 2, 3].map((seed) => createRouter(20, 8, { seed }).select(job, 0));
-  assert.equal(new Set(homes).size, 1);
+  const preferred = [1, 2, 3].map((seed) => createRouter(20, 8, { seed }).select(job, 0));
+  assert.equal(new Set(preferred).size, 1);
 });
 
 test('spreads load without herding on the least loaded endpoint', () => {
@@ -55,8 +55,8 @@
 
 test('prefers its own data centre', () => {
   const router = new Router({ dataCentre: asId('dc2') });
-  const near = createCandidate({ endpoint: asId('near'), dataCentre: asId('dc2'), slots: 8 });
-  router.setCandidates([...createCandidates(4, { slots: 8 }), near], 0);
+  const local = createCandidate({ endpoint: asId('near'), dataCentre: asId('dc2'), slots: 8 });
+  router.setCandidates([...createCandidates(4, { slots: 8 }), local], 0);
   assert.equal(send(router, createJob()), 'near');
 });
 
--- a/packages/policy/src/lib/routing/Router.ts
+++ b/packages/policy/src/lib/routing/Router.ts
@@ -3,7 +3,7 @@
 import type { Candidate, Ending, Job, LoadReport } from '../Job';
 import { PoolMap, type PoolKey } from '../PoolMap';
 import { Endpoint } from './Endpoint';
-import { EndpointPool, isSuitable } from './EndpointPool';
+import { EndpointPool, isEligible } from './EndpointPool';
 import { PrefixIndex, type PrefixMatch } from './PrefixIndex';
 
 /** Options of a router. @public */
@@ -26,15 +26,15 @@
 const REFRESH_INTERVAL_MS = 200;
 
 /** Part of a prompt that its home may hold when nothing is known. */
-const HOME_PART = 0.5;
+const PREFERRED_CACHED_FRACTION = 0.5;
 
 /** Urgent sends beyond the credits between two reports, as a part of the endpoint's slots. */
-const URGENT_PART = 0.125;
+const URGENT_FRACTION = 0.125;
 
 /** An endpoint that a job may go to, with the part of the prompt that it is thought to hold. */
-interface Option {
+interface RouteOption {
   readonly endpoint: Endpoint;
-  readonly cachedPart: number;
+  readonly cachedFraction: number;
 }
 
 /**
@@ -104,9 +104,13 @@
     const probe = this.#selectProbe(pool, job, now);
     if (probe) return probe.id;
     const match = this.#prefixes.find(job.workspace, job.blocks);
-    const options = this.#drawOptions(pool, job, now);
-    const known = this.#knownOptions(pool, job, match, now);
-    return this.#cheapest(pool, job, known.length > 0 ? [...known, ...options] : options)?.id;
+    const sampledOptions = this.#sampleOptions(pool, job, now);
+    const known = this.#prefixOptions(pool, job, match, now);
+    return this.#cheapest(
+      pool,
+      job,
+      known.length > 0 ? [...known, ...sampledOptions] : sampledOptions,
+    )?.id;
   }
 
   /**
@@ -114,9 +118,10 @@
    * is too old to tell; undefined when none is known.
    */
   selectUrgent(job: Job, now: number): EndpointId | undefined {
-    const chosen = this.pool(job).drawLower(
+    const chosen = this.pool(job).sampleLowerTier(
       job.tier,
-      (endpoint) => this.#mayForce(endpoint, job, now) && !endpoint.load.isClaimed(job.tier),
+      (endpoint) =>
+        this.#allowsUrgent(endpoint, job, now) && !endpoint.load.hasWaitingAtOrAbove(job.tier),
       this.#random,
     );
     return chosen?.id;
@@ -126,23 +131,23 @@
   selectQueue(job: Job, now: number): EndpointId | undefined {
     let best: Endpoint | undefined;
     for (const endpoint of this.pool(job).members) {
-      if (!this.#mayForce(endpoint, job, now) || endpoint.load.hasQueue) continue;
-      if (!best || endpoint.load.perSlot() < best.load.perSlot()) best = endpoint;
+      if (!this.#allowsUrgent(endpoint, job, now) || endpoint.load.hasQueue) continue;
+      if (!best || endpoint.load.loadPerSlot() < best.load.loadPerSlot()) best = endpoint;
     }
     return best?.id;
   }
 
   /** Whether lower work than the job's is known to run or wait, or can not be ruled out. */
-  mayHaveLower(job: Job, now: number): boolean {
+  mayHaveLowerTierWork(job: Job, now: number): boolean {
     return this.pool(job).members.some(
-      ({ load }) => load.isOpen && (load.isStale(now) || load.hasLower(job.tier, now)),
+      ({ load }) => load.isOpen && (load.isStale(now) || load.hasLowerTierWork(job.tier, now)),
     );
   }
 
   /** Whether the job may go to the endpoint at all. */
-  mayUse(job: Job, id: EndpointId): boolean {
+  isEligible(job: Job, id: EndpointId): boolean {
     const endpoint = this.#endpoints.get(id);
-    return endpoint !== undefined && isSuitable(endpoint, job);
+    return endpoint !== undefined && isEligible(endpoint, job);
   }
 
   /** The job was sent to the endpoint. */
@@ -171,50 +176,50 @@
   /** Takes in the cost of a piece of work, such as milliseconds per token, to find slow endpoints. */
   observed(job: Job, id: EndpointId, cost: number, now: number): void {
     const endpoint = this.#endpoints.get(id);
-    if (endpoint) this.pool(job).slow.observe(endpoint, cost, now);
+    if (endpoint) this.pool(job).outliers.observe(endpoint, cost, now);
   }
 
   /** A request that was sent because there was room has waited at the endpoint all the same. */
-  queued(id: EndpointId): void {
-    this.#endpoints.get(id)?.load.queued();
+  recordQueueDelay(id: EndpointId): void {
+    this.#endpoints.get(id)?.load.recordQueueDelay();
   }
 
   /** Endpoints that are thought to hold a part of the prompt, or else the prefix's home. */
-  #knownOptions(pool: EndpointPool, job: Job, match: PrefixMatch, now: number): Option[] {
+  #prefixOptions(pool: EndpointPool, job: Job, match: PrefixMatch, now: number): RouteOption[] {
     if (job.blocks.length === 0) return [];
     if (match.length === 0) {
-      const home = pool.home(`${job.workspace} ${job.blocks[0]}`);
-      return home && pool.accepts(home, job, now)
-        ? [{ endpoint: home, cachedPart: HOME_PART }]
+      const preferred = pool.preferredEndpoint(`${job.workspace} ${job.blocks[0]}`);
+      return preferred && pool.accepts(preferred, job, now)
+        ? [{ endpoint: preferred, cachedFraction: PREFERRED_CACHED_FRACTION }]
         : [];
     }
-    const options: Option[] = [];
+    const options: RouteOption[] = [];
     for (const id of match.endpoints) {
       const endpoint = this.#endpoints.get(id);
       if (!endpoint || !pool.accepts(endpoint, job, now)) continue;
-      options.push({ endpoint, cachedPart: match.length / job.blocks.length });
+      options.push({ endpoint, cachedFraction: match.length / job.blocks.length });
     }
     return options;
   }
 
   /** Random endpoints with room: two near ones and a far one, or two far ones. */
-  #drawOptions(pool: EndpointPool, job: Job, now: number): Option[] {
-    const near = pool.draw(job, true, this.#random, now);
-    const second = pool.draw(job, near !== undefined, this.#random, now);
-    const far = pool.draw(job, false, this.#random, now);
-    const options: Option[] = [];
-    if (near) options.push({ endpoint: near, cachedPart: 0 });
-    if (second) options.push({ endpoint: second, cachedPart: 0 });
-    if (far) options.push({ endpoint: far, cachedPart: 0 });
+  #sampleOptions(pool: EndpointPool, job: Job, now: number): RouteOption[] {
+    const local = pool.sampleFree(job, true, this.#random, now);
+    const second = pool.sampleFree(job, local !== undefined, this.#random, now);
+    const remote = pool.sampleFree(job, false, this.#random, now);
+    const options: RouteOption[] = [];
+    if (local) options.push({ endpoint: local, cachedFraction: 0 });
+    if (second) options.push({ endpoint: second, cachedFraction: 0 });
+    if (remote) options.push({ endpoint: remote, cachedFraction: 0 });
     return options;
   }
 
   /** The first of the cheapest options. */
-  #cheapest(pool: EndpointPool, job: Job, options: readonly Option[]): Endpoint | undefined {
+  #cheapest(pool: EndpointPool, job: Job, options: readonly RouteOption[]): Endpoint | undefined {
     let best: Endpoint | undefined;
     let bestCost = Infinity;
-    for (const { endpoint, cachedPart } of options) {
-      const cost = this.#cost(pool, endpoint, job.promptTokens * (1 - cachedPart));
+    for (const { endpoint, cachedFraction } of options) {
+      const cost = this.#cost(pool, endpoint, job.promptTokens * (1 - cachedFraction));
       if (cost >= bestCost) continue;
       best = endpoint;
       bestCost = cost;
@@ -224,25 +229,27 @@
 
   #selectProbe(pool: EndpointPool, job: Job, now: number): Endpoint | undefined {
     if (!job.idempotent || job.isSuspect) return undefined;
-    const probe = pool.drawProbe(job, this.#random);
+    const probe = pool.sampleProbe(job, this.#random);
     if (!probe) return undefined;
-    pool.slow.probed(probe, now);
+    pool.outliers.probed(probe, now);
     pool.update(probe, now);
     return probe;
   }
 
-  #mayForce(endpoint: Endpoint, job: Job, now: number): boolean {
+  #allowsUrgent(endpoint: Endpoint, job: Job, now: number): boolean {
     const { load, breaker } = endpoint;
-    if (!load.isOpen || !isSuitable(endpoint, job) || !breaker.allows(now)) return false;
-    return load.urgentSends(job.tier) < Math.ceil(URGENT_PART * load.slots);
+    if (!load.isOpen || !isEligible(endpoint, job) || !breaker.allows(now)) return false;
+    return load.urgentSends(job.tier) < Math.ceil(URGENT_FRACTION * load.slots);
   }
 
   /** Expected time to the first token, in milliseconds. */
   #cost(pool: EndpointPool, endpoint: Endpoint, uncachedTokens: number): number {
     const { prefillRate, loadCostMs, remoteCostMs } = this.#options;
     const prefillTokens = uncachedTokens + (endpoint.load.load?.prefillTokens ?? 0);
-    const remoteMs = pool.isNear(endpoint) ? 0 : remoteCostMs;
-    return (prefillTokens / prefillRate) * 1000 + endpoint.load.perSlot() * loadCostMs + remoteMs;
+    const remoteMs = pool.isLocal(endpoint) ? 0 : remoteCostMs;
+    return (
+      (prefillTokens / prefillRate) * 1000 + endpoint.load.loadPerSlot() * loadCostMs + remoteMs
+    );
   }
 
   #update(endpoint: Endpoint, now: number): void {
--- a/packages/policy/src/lib/scaling/RolloutPolicy.test.ts
+++ b/packages/policy/src/lib/scaling/RolloutPolicy.test.ts
@@ -5,14 +5,14 @@
 import { RolloutPolicy } from './RolloutPolicy';
 
 const GIGABYTE = 1e9;
-const old: EngineSetup = { model: 'model', version: '1', adapters: [], role: 'both' };
-const wanted: EngineSetup = { ...old, version: '2' };
+const currentSetup: EngineSetup = { model: 'model', version: '1', adapters: [], role: 'both' };
+const desired: EngineSetup = { ...currentSetup, version: '2' };
 
 const createEndpoint = (index: number): RolloutEndpoint => ({
   endpoint: asId(`e${index}`),
   dataCentre: asId(`dc${index % 3}`),
-  setup: old,
-  wanted,
+  setup: currentSetup,
+  desired,
   state: 'serving',
   load: 2,
   loadBytes: 10 * GIGABYTE,
@@ -34,11 +34,11 @@
       }
       if (endpoint.state === 'draining') return { ...endpoint, load: 0 };
       const isLoaded = endpoint.state === 'loading' && now - (loadedAt.at(-1) ?? 0) >= 10_000;
-      return isLoaded ? { ...endpoint, state: 'serving', setup: wanted } : endpoint;
+      return isLoaded ? { ...endpoint, state: 'serving', setup: desired } : endpoint;
     });
-    const away = endpoints.filter(({ state }) => state !== 'serving');
-    assert.ok(away.length <= 2);
-    assert.ok(new Set(away.map(({ dataCentre }) => dataCentre)).size <= 1);
+    const outOfService = endpoints.filter(({ state }) => state !== 'serving');
+    assert.ok(outOfService.length <= 2);
+    assert.ok(new Set(outOfService.map(({ dataCentre }) => dataCentre)).size <= 1);
   }
   assert.ok(endpoints.every(({ setup }) => setup.version === '2'));
   const gaps = loadedAt.slice(1).map((at, i) => at - (loadedAt[i] as number));
@@ -50,5 +50,5 @@
 
 test('leaves alone what has the wanted setup', () => {
   const policy = new RolloutPolicy({ storeBytesPerSecond: GIGABYTE });
-  assert.deepEqual(policy.decide([{ ...createEndpoint(1), setup: wanted }], 0), []);
+  assert.deepEqual(policy.decide([{ ...createEndpoint(1), setup: desired }], 0), []);
 });
--- a/packages/policy/src/lib/scaling/RolloutPolicy.ts
+++ b/packages/policy/src/lib/scaling/RolloutPolicy.ts
@@ -14,7 +14,7 @@
   readonly endpoint: EndpointId;
   readonly dataCentre: DataCentreId;
   readonly setup: EngineSetup;
-  readonly wanted: EngineSetup;
+  readonly desired: EngineSetup;
   readonly state: 'serving' | 'draining' | 'loading';
   /** Attempts that run or wait there. */
   readonly load: number;
@@ -65,20 +65,20 @@
   #load(endpoints: readonly RolloutEndpoint[], now: number): RolloutDecision[] {
     const ready = endpoints.filter(({ state, load }) => state === 'draining' && load === 0);
     const decisions: RolloutDecision[] = [];
-    for (const { endpoint, wanted, loadBytes } of ready) {
+    for (const { endpoint, desired, loadBytes } of ready) {
       if (loadBytes > 0 && now < this.#storeFreeAt) continue;
       const loadMs = (loadBytes / this.#options.storeBytesPerSecond) * 1000;
       if (loadBytes > 0) this.#storeFreeAt = now + loadMs;
-      decisions.push({ type: 'load', endpoint, setup: wanted });
+      decisions.push({ type: 'load', endpoint, setup: desired });
     }
     return decisions;
   }
 
   #drain(endpoints: readonly RolloutEndpoint[]): RolloutDecision[] {
     const serving = endpoints.filter(({ state }) => state === 'serving');
-    const away = endpoints.length - serving.length;
-    const allowed = Math.max(1, this.#maxAway(endpoints.length)) - away;
-    const outdated = serving.filter(({ setup, wanted }) => !isSameSetup(setup, wanted));
+    const outOfService = endpoints.length - serving.length;
+    const allowed = Math.max(1, this.#maxOutOfService(endpoints.length)) - outOfService;
+    const outdated = serving.filter(({ setup, desired }) => !isSameSetup(setup, desired));
     const busy = endpoints.find(({ state }) => state !== 'serving');
     const dataCentre = busy?.dataCentre ?? outdated[0]?.dataCentre;
     return outdated
@@ -88,7 +88,7 @@
       .map(({ endpoint }) => ({ type: 'drain', endpoint }));
   }
 
-  #maxAway(count: number): number {
+  #maxOutOfService(count: number): number {
     return Math.floor(count * (1 - this.#options.minimumServing) + EPSILON);
   }
 }
--- a/packages/policy/src/lib/scaling/ScalingPolicy.ts
+++ b/packages/policy/src/lib/scaling/ScalingPolicy.ts
@@ -1,6 +1,6 @@
 import { asId } from '@berylwood/base';
 import type { DataCentreId, Zone } from '@berylwood/schema';
-import { marginalWorth, tokensOf } from './marginalWorth';
+import { marginalValue, tokenDemand } from './marginalValue';
 import type {
   ClassDemand,
   ScaledEndpoint,
@@ -9,7 +9,7 @@
   ScalingOptions,
 } from './ScalingTypes';
 import { Trend } from './Trend';
-import { selectStart, selectStop } from './selectZone';
+import { selectZoneToStart, selectEndpointToDrain } from './selectZone';
 
 const defaults: Required<ScalingOptions> = {
   utilization: 0.7,
@@ -26,12 +26,12 @@
   /** Requests a second by class. */
   readonly trends: Map<string, Trend>;
   /** Since when more, or less, has been wanted; undefined when it is not. */
-  moreSince: number | undefined;
-  lessSince: number | undefined;
+  shortageSince: number | undefined;
+  excessSince: number | undefined;
 }
 
 /** How many endpoints are wanted, with hysteresis between the two numbers. */
-interface Wanted {
+interface TargetRange {
   readonly atLeast: number;
   readonly atMost: number;
 }
@@ -60,19 +60,19 @@
       .filter(({ state: phase, load }) => phase === 'draining' && load === 0)
       .map(({ endpoint }) => ({ type: 'stop', endpoint }) as const);
     const active = input.endpoints.filter(({ state: phase }) => phase !== 'draining');
-    const wanted = this.#wanted(input, demands);
+    const range = this.#targetRange(input, demands);
     const capacity = this.#options.utilization * input.tokensPerSecond;
-    const spare = topTierEndpoints(demands, capacity);
-    const isExposed = input.zones.length > 1 && !survivesLoss(active, spare);
-    const needsMore = active.length < wanted.atLeast || isExposed;
+    const topTierCount = countForTopTier(demands, capacity);
+    const lacksRedundancy = input.zones.length > 1 && !survivesZoneLoss(active, topTierCount);
+    const hasShortage = active.length < range.atLeast || lacksRedundancy;
     // What could be stopped must stay so for the whole time, also as to the loss of a zone.
     const excess =
-      active.length > wanted.atMost ? this.#excess(input, active, spare, now) : undefined;
-    state.moreSince = needsMore ? (state.moreSince ?? now) : undefined;
-    state.lessSince = excess ? (state.lessSince ?? now) : undefined;
+      active.length > range.atMost ? this.#findExcess(input, active, topTierCount, now) : undefined;
+    state.shortageSince = hasShortage ? (state.shortageSince ?? now) : undefined;
+    state.excessSince = excess ? (state.excessSince ?? now) : undefined;
     const isDue =
-      state.lessSince !== undefined && now - state.lessSince >= this.#options.stopAfterMs;
-    const starts = this.#start(input, active, wanted.atLeast, state, now);
+      state.excessSince !== undefined && now - state.excessSince >= this.#options.stopAfterMs;
+    const starts = this.#start(input, active, range.atLeast, state, now);
     if (!excess || !isDue) return [...stops, ...starts];
     return [...stops, ...starts, { type: 'drain', endpoint: excess.endpoint }];
   }
@@ -81,55 +81,58 @@
   #start(
     input: ScalingInput,
     active: readonly ScaledEndpoint[],
-    wanted: number,
+    targetCount: number,
     state: ModelState,
     now: number,
   ): ScalingDecision[] {
     const isDue =
-      state.moreSince !== undefined && now - state.moreSince >= this.#options.startAfterMs;
+      state.shortageSince !== undefined && now - state.shortageSince >= this.#options.startAfterMs;
     const decisions: ScalingDecision[] = [];
-    const counted = [...active];
-    const missing = isDue ? Math.max(1, wanted - active.length) : 0;
+    const planned = [...active];
+    const missing = isDue ? Math.max(1, targetCount - active.length) : 0;
     for (;;) {
-      const belowMinimum = input.zones.find((zone) => countIn(counted, zone) < zone.minimum);
+      const belowMinimum = input.zones.find((zone) => countIn(planned, zone) < zone.minimum);
       const zone =
         belowMinimum ??
-        (decisions.length < missing ? selectStart(input.zones, counted) : undefined);
+        (decisions.length < missing ? selectZoneToStart(input.zones, planned) : undefined);
       if (!zone) return decisions;
       const draining = input.endpoints.find((endpoint) => {
-        const isBack = counted.includes(endpoint);
+        const isPlanned = planned.includes(endpoint);
         return (
-          endpoint.state === 'draining' && endpoint.load > 0 && !isBack && isIn(endpoint, zone)
+          endpoint.state === 'draining' && endpoint.load > 0 && !isPlanned && isIn(endpoint, zone)
         );
       });
       const dataCentre = zone.dataCentre as DataCentreId;
-      counted.push(draining ?? createPlanned(dataCentre, now));
+      planned.push(draining ?? createPlannedEndpoint(dataCentre, now));
       if (draining) decisions.push({ type: 'resume', endpoint: draining.endpoint });
       else decisions.push({ type: 'start', model: input.model, dataCentre });
     }
   }
 
   /** An endpoint that has run long enough and can be spared. */
-  #excess(
+  #findExcess(
     input: ScalingInput,
     active: readonly ScaledEndpoint[],
-    spare: number,
+    topTierCount: number,
     now: number,
   ): ScaledEndpoint | undefined {
-    const old = active.filter(
+    const eligible = active.filter(
       ({ state, startedAt }) =>
         state === 'running' && now - startedAt >= this.#options.minimumRunMs,
     );
-    return selectStop(
+    return selectEndpointToDrain(
       input.zones,
       active,
-      old,
-      (left) => input.zones.length === 1 || survivesLoss(left, spare),
+      eligible,
+      (remaining) => input.zones.length === 1 || survivesZoneLoss(remaining, topTierCount),
     );
   }
 
   /** Numbers of endpoints at which one more, or one less, is no longer worth while. */
-  #wanted({ zones, tokensPerSecond }: ScalingInput, demands: readonly ClassDemand[]): Wanted {
+  #targetRange(
+    { zones, tokensPerSecond }: ScalingInput,
+    demands: readonly ClassDemand[],
+  ): TargetRange {
     const { utilization, startRatio, stopRatio } = this.#options;
     const capacity = utilization * tokensPerSecond;
     const prices = zones.flatMap(({ pricePerHour, maximum }) =>
@@ -137,12 +140,12 @@
     );
     prices.sort((a, b) => a - b);
     const minimum = zones.reduce((sum, zone) => sum + zone.minimum, 0);
-    const worthOf = (index: number) => marginalWorth(demands, index + 1, capacity);
-    const countWorth = (ratio: number) => {
-      const first = prices.findIndex((price, index) => worthOf(index) <= ratio * price);
+    const valueAt = (index: number) => marginalValue(demands, index + 1, capacity);
+    const countWorthwhile = (ratio: number) => {
+      const first = prices.findIndex((price, index) => valueAt(index) <= ratio * price);
       return Math.max(minimum, first < 0 ? prices.length : first);
     };
-    return { atLeast: countWorth(startRatio), atMost: countWorth(stopRatio) };
+    return { atLeast: countWorthwhile(startRatio), atMost: countWorthwhile(stopRatio) };
   }
 
   #forecast(state: ModelState, demands: readonly ClassDemand[], now: number): ClassDemand[] {
@@ -157,29 +160,29 @@
   #stateOf(model: string): ModelState {
     const known = this.#models.get(model);
     if (known) return known;
-    const state = { trends: new Map(), moreSince: undefined, lessSince: undefined };
+    const state = { trends: new Map(), shortageSince: undefined, excessSince: undefined };
     this.#models.set(model, state);
     return state;
   }
 }
 
 /** An endpoint that is about to be ordered. */
-function createPlanned(dataCentre: DataCentreId, now: number): ScaledEndpoint {
+function createPlannedEndpoint(dataCentre: DataCentreId, now: number): ScaledEndpoint {
   return { endpoint: asId('planned'), dataCentre, state: 'starting', startedAt: now, load: 0 };
 }
 
 /** Endpoints that the top tier alone needs. */
-function topTierEndpoints(demands: readonly ClassDemand[], capacity: number): number {
+function countForTopTier(demands: readonly ClassDemand[], capacity: number): number {
   const active = demands.filter(({ requestsPerSecond }) => requestsPerSecond > 0);
   const top = Math.min(...active.map(({ tier }) => tier));
   const tokens = active
     .filter(({ tier }) => tier === top)
-    .reduce((sum, demand) => sum + tokensOf(demand), 0);
+    .reduce((sum, demand) => sum + tokenDemand(demand), 0);
   return capacity > 0 ? Math.ceil(tokens / capacity) : 0;
 }
 
 /** Whether enough endpoints are left when the zone with the most of them is lost. */
-function survivesLoss(active: readonly ScaledEndpoint[], needed: number): boolean {
+function survivesZoneLoss(active: readonly ScaledEndpoint[], needed: number): boolean {
   const counts = new Map<DataCentreId, number>();
   for (const { dataCentre } of active) counts.set(dataCentre, (counts.get(dataCentre) ?? 0) + 1);
   const largest = Math.max(0, ...counts.values());
--- a/packages/policy/src/lib/scaling/Trend.ts
+++ b/packages/policy/src/lib/scaling/Trend.ts
@@ -10,26 +10,26 @@
 
   #slope = 0;
 
-  #at = 0;
+  #observedAt = 0;
 
-  observe(figure: number, now: number): void {
+  observe(measurement: number, now: number): void {
     if (this.#level === undefined) {
-      this.#level = figure;
-      this.#at = now;
+      this.#level = measurement;
+      this.#observedAt = now;
       return;
     }
-    const passedMs = now - this.#at;
-    if (passedMs <= 0) return;
-    const expected = this.#level + this.#slope * passedMs;
-    const level = expected + (1 - Math.exp(-passedMs / LEVEL_MS)) * (figure - expected);
-    const slope = (level - this.#level) / passedMs;
-    this.#slope += (1 - Math.exp(-passedMs / SLOPE_MS)) * (slope - this.#slope);
+    const elapsedMs = now - this.#observedAt;
+    if (elapsedMs <= 0) return;
+    const expected = this.#level + this.#slope * elapsedMs;
+    const level = expected + (1 - Math.exp(-elapsedMs / LEVEL_MS)) * (measurement - expected);
+    const slope = (level - this.#level) / elapsedMs;
+    this.#slope += (1 - Math.exp(-elapsedMs / SLOPE_MS)) * (slope - this.#slope);
     this.#level = level;
-    this.#at = now;
+    this.#observedAt = now;
   }
 
   /** Expected figure after a time in milliseconds; a fall is not counted on. */
-  forecast(aheadMs: number): number {
-    return Math.max(0, (this.#level ?? 0) + Math.max(0, this.#slope) * aheadMs);
+  forecast(horizonMs: number): number {
+    return Math.max(0, (this.#level ?? 0) + Math.max(0, this.#slope) * horizonMs);
   }
 }
--- a/packages/policy/src/lib/scaling/marginalWorth.ts
+++ b/packages/policy/src/lib/scaling/marginalValue.ts
@@ -3,19 +3,19 @@
 const SECONDS_PER_HOUR = 3_600;
 
 /** Worth of the service that a capacity gives, in units of money an hour. @internal */
-function servedWorth(demands: readonly ClassDemand[], tokensPerSecond: number): number {
+function servedValue(demands: readonly ClassDemand[], tokensPerSecond: number): number {
   // By tier, as the schedulers serve it; by worth per token within a tier.
   const ordered = [...demands].sort(
-    (a, b) => a.tier - b.tier || worthPerToken(b) - worthPerToken(a),
+    (a, b) => a.tier - b.tier || valuePerToken(b) - valuePerToken(a),
   );
-  let left = tokensPerSecond;
-  let worth = 0;
+  let unused = tokensPerSecond;
+  let total = 0;
   for (const demand of ordered) {
-    const served = Math.min(left, tokensOf(demand));
-    worth += served * worthPerToken(demand) * SECONDS_PER_HOUR;
-    left -= served;
+    const served = Math.min(unused, tokenDemand(demand));
+    total += served * valuePerToken(demand) * SECONDS_PER_HOUR;
+    unused -= served;
   }
-  return worth;
+  return total;
 }
 
 /**
@@ -23,20 +23,20 @@
  * the service that would be missed without it.
  * @internal
  */
-export function marginalWorth(
+export function marginalValue(
   demands: readonly ClassDemand[],
   endpoints: number,
   tokensPerSecond: number,
 ): number {
-  const without = servedWorth(demands, (endpoints - 1) * tokensPerSecond);
-  return servedWorth(demands, endpoints * tokensPerSecond) - without;
+  const without = servedValue(demands, (endpoints - 1) * tokensPerSecond);
+  return servedValue(demands, endpoints * tokensPerSecond) - without;
 }
 
 /** Work asked for a second, in tokens. @internal */
-export function tokensOf({ requestsPerSecond, tokensPerRequest }: ClassDemand): number {
+export function tokenDemand({ requestsPerSecond, tokensPerRequest }: ClassDemand): number {
   return requestsPerSecond * tokensPerRequest;
 }
 
-function worthPerToken({ value, tokensPerRequest }: ClassDemand): number {
+function valuePerToken({ value, tokensPerRequest }: ClassDemand): number {
   return tokensPerRequest > 0 ? value / tokensPerRequest : 0;
 }
--- a/packages/policy/src/lib/scaling/selectZone.ts
+++ b/packages/policy/src/lib/scaling/selectZone.ts
@@ -6,7 +6,7 @@
  * any zone costs little; the cheaper one when they are equal.
  * @internal
  */
-export function selectStart(
+export function selectZoneToStart(
   zones: readonly Zone[],
   active: readonly ScaledEndpoint[],
 ): Zone | undefined {
@@ -21,15 +21,15 @@
  * that what is left is still acceptable.
  * @internal
  */
-export function selectStop(
+export function selectEndpointToDrain(
   zones: readonly Zone[],
   active: readonly ScaledEndpoint[],
-  idle: readonly ScaledEndpoint[],
-  isAcceptable: (left: readonly ScaledEndpoint[]) => boolean,
+  eligible: readonly ScaledEndpoint[],
+  isAcceptable: (remaining: readonly ScaledEndpoint[]) => boolean,
 ): ScaledEndpoint | undefined {
   const priceOf = ({ dataCentre }: ScaledEndpoint) =>
     zones.find((zone) => zone.dataCentre === dataCentre)?.pricePerHour ?? Infinity;
-  const ordered = [...idle].sort((a, b) => priceOf(b) - priceOf(a) || a.load - b.load);
+  const ordered = [...eligible].sort((a, b) => priceOf(b) - priceOf(a) || a.load - b.load);
   return ordered.find((endpoint) => {
     const zone = zones.find(({ dataCentre }) => dataCentre === endpoint.dataCentre);
     if (zone && countIn(zone, active) <= zone.minimum) return false;
