--- a/packages/gateway/src/lib/Endpoint.ts
+++ b/packages/gateway/src/lib/Endpoint.ts
@@ -1,5 +1,10 @@
 import type { Timer } from '@berylwood/base';
-import { CircuitBreaker, URGENCY_LEVELS, type EnginePlace, type Place } from '@berylwood/policy';
+import {
+  CircuitBreaker,
+  URGENCY_LEVELS,
+  type EngineView,
+  type EndpointView,
+} from '@berylwood/policy';
 import type { EndpointWork } from '@berylwood/registry';
 import { EndpointAgent } from './EndpointAgent';
 import { ReachabilityProbe } from './ReachabilityProbe';
@@ -44,14 +49,14 @@
 
   /** Opens on the first connection that fails. */
   readonly #connectBreaker = new CircuitBreaker({
-    failures: 1,
+    failureThreshold: 1,
     openMs: EJECTION_MS,
     maxOpenMs: MAX_EJECTION_MS,
   });
 
   /** Opens on answers that fail in a row. */
   readonly #responseBreaker = new CircuitBreaker({
-    failures: CONSECUTIVE_FAILURES,
+    failureThreshold: CONSECUTIVE_FAILURES,
     openMs: EJECTION_MS,
     maxOpenMs: MAX_EJECTION_MS,
   });
@@ -171,7 +176,7 @@
     instances,
     rank,
     slots,
-  }: EngineViewOptions): EnginePlace & { readonly endpoint: Endpoint } {
+  }: EngineViewOptions): EngineView & { readonly endpoint: Endpoint } {
     const isFresh = this.#isRemoteWorkFresh;
     // Without news of the others, they are taken to do as this instance does.
     const own = sumUpToRank(this.#pendingPrefillTokens, rank) * (isFresh ? 1 : instances);
@@ -180,19 +185,19 @@
       queuedTokens: own + (isFresh ? sumUpToRank(this.#remoteWork.tokens, rank) : 0),
       running: this.requests(instances),
       slots,
-      isNear: this.#listed.dataCentre === dataCentre,
+      isLocal: this.#listed.dataCentre === dataCentre,
       endpoint: this,
     };
   }
 
-  view(dataCentre: string): Place & { readonly endpoint: Endpoint } {
+  view(dataCentre: string): EndpointView & { readonly endpoint: Endpoint } {
     const ageMs = this.#timer.now() - this.#remoteRequestsAt;
     const others = this.#remoteRequests * 0.5 ** (ageMs / LOAD_HALF_LIFE_MS);
     return {
       key: this.#listed.id,
       load: this.#inFlight + others,
       slots: Math.max(1, this.#listed.slots),
-      isNear: this.#listed.dataCentre === dataCentre,
+      isLocal: this.#listed.dataCentre === dataCentre,
       endpoint: this,
     };
   }
--- a/packages/gateway/src/lib/placeRequest.ts
+++ b/packages/gateway/src/lib/placeRequest.ts
@@ -1,4 +1,4 @@
-import { chooseEngine, choosePlace, type PromptCost } from '@berylwood/policy';
+import { chooseEngine, chooseEndpoint, type PromptCost } from '@berylwood/policy';
 import type { Endpoint } from './Endpoint';
 import type { GatewayContext } from './GatewayContext';
 import type { ResolvedRequest } from './resolveRequest';
@@ -43,13 +43,13 @@
   const engine = table.findPool(target)?.engine;
   if (!route.hasAffinity || !engine) {
     const places = candidates.map((endpoint) => endpoint.view(dataCentre));
-    const place = choosePlace(places, random.next());
+    const place = chooseEndpoint(places, random.next());
     return place && { endpoint: place.endpoint, tokens: 0, prefillMs: 0 };
   }
   const viewOptions = { dataCentre, instances: directory.instances(), rank, slots: engine.slots };
   const places = candidates.map((endpoint) => endpoint.engineView(viewOptions));
   const choice = chooseEngine(places, promptCostOf(metadata), random.next());
   return (
-    choice && { endpoint: choice.place.endpoint, tokens: choice.tokens, prefillMs: choice.readMs }
+    choice && { endpoint: choice.view.endpoint, tokens: choice.tokens, prefillMs: choice.prefillMs }
   );
 }
--- a/packages/policy/src/lib/FairScheduler.ts
+++ b/packages/policy/src/lib/FairScheduler.ts
@@ -218,7 +218,7 @@
         return true;
       }
       const onTime = pool.nextOnTime(ticket.job.tier, now);
-      const isEligible = onTime !== undefined && this.#router.mayUse(onTime.job, endpoint);
+      const isEligible = onTime !== undefined && this.#router.isEligible(onTime.job, endpoint);
       this.#dispatch(pool, isEligible ? onTime : ticket, endpoint, true, now, decisions);
     }
     return true;
@@ -252,7 +252,7 @@
   #selectForExpired(pool: WaitingPool, { job }: Ticket, now: number): EndpointId | undefined {
     const urgent = this.#router.selectUrgent(job, now);
     if (urgent) return urgent;
-    if (!pool.hasWaitingBelow(job.tier) && !this.#router.mayHaveLower(job, now)) return undefined;
+    if (!pool.hasWaitingBelow(job.tier) && !this.#router.mayHaveLowerTierWork(job, now)) return undefined;
     return this.#router.selectQueue(job, now);
   }
 
