--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,4 +1,7 @@
-/** Pure decisions: time and randomness are arguments, nothing here does I/O. */
+/**
+ * Policies for scheduling, routing, limits and scaling. They are pure: time and randomness are
+ * arguments, and nothing here performs I/O.
+ */
 export type {
   Candidate,
   Decision,
--- a/packages/policy/src/lib/Assignments.ts
+++ b/packages/policy/src/lib/Assignments.ts
@@ -1,12 +1,12 @@
 import type { EndpointId, RequestId } from '@berylwood/schema';
 
-/** Which request runs on which endpoint, as far as one entry has sent it. @internal */
+/** Tracks the endpoint of each running request that one entry has dispatched. @internal */
 export class Assignments {
   readonly #endpoints = new Map<RequestId, EndpointId>();
 
   readonly #counts = new Map<EndpointId, number>();
 
-  /** Requests that run on an endpoint. */
+  /** Number of requests running on an endpoint. */
   countOf(endpoint: EndpointId): number {
     return this.#counts.get(endpoint) ?? 0;
   }
@@ -16,7 +16,7 @@
     this.#counts.set(endpoint, this.countOf(endpoint) + 1);
   }
 
-  /** Ends a request; one that does not run is ignored. */
+  /** Removes a request that has ended. Unknown requests are ignored. */
   end(request: RequestId): void {
     const endpoint = this.#endpoints.get(request);
     if (endpoint === undefined) return;
--- a/packages/policy/src/lib/FairScheduler.ts
+++ b/packages/policy/src/lib/FairScheduler.ts
@@ -17,30 +17,33 @@
 
 /** Options of a fair scheduler. @public */
 export interface FairSchedulerOptions extends RouterOptions {
-  /** Requests that may wait; above it the lowest are refused. Default 20000. */
+  /**
+   * Maximum number of waiting requests. Above it, the pool with the most waiting requests rejects
+   * from its lowest tier. Default 20000.
+   */
   readonly maxWaiting?: number;
   /**
-   * Time in which a floor reaches the other entries, in milliseconds. A tier is refused only after
-   * it, once for each lower tier. 0 when floors are not passed on. Default 0.
+   * Propagation delay of a shedding floor to the other entries, in milliseconds. A tier is rejected
+   * only after one such delay for each lower tier. 0 if floors are not propagated. Default 0.
    */
   readonly floorDelayMs?: number;
 }
 
 const DEFAULT_MAX_WAITING = 20_000;
 
-/** Time between checks for overload, in milliseconds. */
+/** Interval between overload checks, in milliseconds. */
 const OVERLOAD_INTERVAL_MS = 50;
 
-/** Longest time until the next decision while requests wait, in milliseconds. */
+/** Longest interval between decisions while requests wait, in milliseconds. */
 const POLL_MS = 200;
 
-/** Tickets that find no suitable endpoint before the others wait for the next decision. */
+/** After this many tickets without an eligible endpoint, a pool waits for the next decision. */
 const MAX_SKIPPED = 8;
 
 /**
- * Tiers with a guaranteed minimum for each class, weighted fairness between workspaces counted in
- * work, deadlines by class, early refusal under overload, and routing by prefix affinity and load.
- * Requests are held here until an endpoint has room, so that the order is decided late.
+ * Tiers with a guaranteed minimum share for each class, weighted fair queueing between workspaces by
+ * work, deadlines by class, early rejection under overload, and routing by prefix affinity and load.
+ * Requests wait here until an endpoint has capacity, so that their order is decided late.
  * @public
  */
 export class FairScheduler extends Scheduler {
@@ -162,7 +165,7 @@
     return result;
   }
 
-  /** Sends tickets to endpoints that have room; one that none may take is set aside meanwhile. */
+  /** Dispatches to endpoints with free capacity. Tickets without an eligible one are requeued. */
   #dispatchToFree(pool: WaitingPool, now: number, decisions: Decision[]): void {
     const endpoints = this.#router.pool(pool.key);
     const skipped: Ticket[] = [];
@@ -179,7 +182,7 @@
     for (const ticket of skipped) this.#requeue(ticket, now);
   }
 
-  /** Sends tickets that would miss their target to full endpoints that run lower work. */
+  /** Dispatches tickets that would miss their target to full endpoints with lower-tier work. */
   #dispatchUrgent(pool: WaitingPool, now: number, decisions: Decision[]): void {
     for (const queue of pool.tiers) {
       for (;;) {
@@ -191,7 +194,7 @@
     }
   }
 
-  /** Ends the waits that have reached their limit: sends them on or refuses them. */
+  /** Dispatches or rejects the tickets whose maximum wait has ended, the lowest tier first. */
   #resolveExpired(pool: WaitingPool, now: number, decisions: Decision[]): void {
     for (const queue of [...pool.tiers].reverse()) {
       for (;;) {
@@ -203,9 +206,9 @@
   }
 
   /**
-   * Refuses a ticket that may wait no longer, unless lower work can make room. What room there is
-   * goes first to tickets of its tier or higher ones that can still meet their target. False when
-   * it has to wait until the other entries have refused lower work.
+   * Rejects an expired ticket, unless lower-tier work can make room. That room goes first to tickets
+   * of the same or a higher tier that can still meet their target. Returns false if the rejection
+   * must wait until the other entries have rejected lower-tier work.
    */
   #resolveOne(pool: WaitingPool, ticket: Ticket, now: number, decisions: Decision[]): boolean {
     while (ticket.isWaiting) {
@@ -224,18 +227,18 @@
     return true;
   }
 
-  /** Raises the floor to a ticket's tier; true when other entries have had time to follow. */
+  /** Raises the floor to a ticket's tier. Returns true once other entries have had time to apply it. */
   #mayReject(pool: WaitingPool, { job }: Ticket, now: number): boolean {
     pool.floor.raise(job.tier, now);
     return pool.floor.hasHeldFor(job.tier, this.#propagationMs(pool, job.tier), now);
   }
 
-  /** Time in which all entries refuse what is lower than the tier, in milliseconds. */
+  /** Time that all entries need to reject the tiers below this one, in milliseconds. */
   #propagationMs(pool: WaitingPool, tier: number): number {
     return this.#floorDelayMs * Math.max(1, pool.countTiersBelow(tier));
   }
 
-  /** Refuses what is lower than a tier that is shed here or in another entry. */
+  /** Rejects tickets of tiers below the floor of this entry or of another one. */
   #rejectBelowFloor(pool: WaitingPool, now: number, decisions: Decision[]): void {
     const floor = pool.floor.effective(now);
     while (floor !== undefined && pool.hasWaitingBelow(floor)) {
@@ -248,7 +251,7 @@
     }
   }
 
-  /** Endpoint for a ticket that may wait no longer while lower work waits or runs. */
+  /** Selects an endpoint for an expired ticket while lower-tier work waits or runs. */
   #selectForExpired(pool: WaitingPool, { job }: Ticket, now: number): EndpointId | undefined {
     const urgent = this.#router.selectUrgent(job, now);
     if (urgent) return urgent;
@@ -256,7 +259,7 @@
     return this.#router.selectQueue(job, now);
   }
 
-  /** Without any open endpoint, refuses what has reached its target time, the lowest tier first. */
+  /** Rejects tickets that can no longer meet their target, the lowest tier first. */
   #rejectWithoutEndpoint(pool: WaitingPool, now: number, decisions: Decision[]): void {
     for (const queue of [...pool.tiers].reverse()) {
       for (const ticket of queue.fair.listLate(now)) {
@@ -265,7 +268,7 @@
     }
   }
 
-  /** Refuses early what can not be served within its longest wait, the lowest tier first. */
+  /** Rejects tickets early that cannot be served within their maximum wait, the lowest tier first. */
   #shedOverload(pool: WaitingPool, now: number, decisions: Decision[]): void {
     while (pool.overloadedTier(now) !== undefined) {
       const ticket = pool.nextToShed();
@@ -284,7 +287,7 @@
     }
   }
 
-  /** Refuses a ticket, and before it all of lower tiers that wait for the same endpoints. */
+  /** Rejects all tickets of lower tiers in the same pool, then the ticket itself. */
   #rejectWithLower(
     pool: WaitingPool,
     ticket: Ticket,
@@ -326,7 +329,7 @@
     ticket.pool.remove(ticket);
   }
 
-  /** Puts a ticket back that was taken; a new one, since queues drop the old one by its mark. */
+  /** Requeues a removed ticket as a new one, since the queues drop removed tickets lazily. */
   #requeue({ job, pool, work, startBy }: Ticket, now: number): void {
     const ticket = new Ticket(job, pool, work, startBy);
     this.#tickets.set(job.request, ticket);
--- a/packages/policy/src/lib/Job.ts
+++ b/packages/policy/src/lib/Job.ts
@@ -9,37 +9,37 @@
 } from '@berylwood/schema';
 import type { Code } from '@berylwood/base';
 
-/** A request as the scheduler sees it. @public */
+/** A request to be scheduled. @public */
 export interface Job {
   readonly request: RequestId;
   readonly workspace: WorkspaceId;
   readonly class: string;
   /** Tier 1 is the highest. */
   readonly tier: number;
-  /** Weight of the workspace among those of its tier. */
+  /** Fair-queueing weight of the workspace within its tier. */
   readonly share: number;
   readonly kind: 'engine' | 'service';
   /** Model or service that the endpoint must serve. */
   readonly target: string;
-  /** Expected work, in tokens of prompt and answer. */
+  /** Expected work, in tokens of the prompt and the response. */
   readonly promptTokens: number;
   readonly answerTokens: number;
-  /** Digests of the prompt's blocks, each chained with the one before; empty without affinity. */
+  /** Digests of the prompt's blocks, each chained with the previous one; empty without affinity. */
   readonly blocks: readonly string[];
-  /** Monotonic times, in milliseconds. */
+  /** Arrival time. All times are monotonic, in milliseconds. */
   readonly arrivedAt: number;
   /** Time by which the first token is due. */
   readonly targetAt: number;
-  /** Time after which the request must not wait any longer. */
+  /** End of the maximum wait. */
   readonly expiresAt: number;
   readonly idempotent: boolean;
   /** Endpoints that a retry must avoid. */
   readonly avoid: readonly EndpointId[];
-  /** A suspect runs apart from other suspects. */
+  /** True for a suspect request, which must not share an endpoint with another suspect. */
   readonly isSuspect: boolean;
 }
 
-/** An endpoint as the scheduler sees it. @public */
+/** An endpoint that the scheduler can choose. @public */
 export interface Candidate {
   readonly endpoint: EndpointId;
   readonly incarnation: IncarnationId;
@@ -48,24 +48,24 @@
   /** Models or services served. */
   readonly targets: readonly string[];
   readonly slots: number;
-  /** False when it is leaving or its link is down. */
+  /** False if the endpoint is leaving or its link is down. */
   readonly isOpen: boolean;
 }
 
-/** How a dispatched job has ended. @public */
+/** Result of a dispatched job. @public */
 export interface JobResult {
   readonly request: RequestId;
   readonly outcome: 'completed' | 'cancelled' | 'refused' | 'failed';
   readonly answerTokens: number;
 }
 
-/** What the scheduler wants done. @public */
+/** An action that the scheduler requests from its entry. @public */
 export type Decision =
   | {
       readonly type: 'dispatch';
       readonly request: RequestId;
       readonly endpoint: EndpointId;
-      /** True when it goes to a full endpoint, which is to preempt lower work or to queue it. */
+      /** True if the endpoint is full and must preempt lower-tier work or queue the request. */
       readonly isUrgent?: boolean;
     }
   | {
@@ -75,24 +75,24 @@
       readonly retryAfterMs: number;
     };
 
-/** An entry's notice to the others that it is about to refuse a tier of a pool. @public */
+/** Shedding floor of a pool, sent to other entries before an entry rejects the tier. @public */
 export interface PoolFloor {
   readonly kind: 'engine' | 'service';
   readonly target: string;
-  /** Requests of tiers with a greater number are to be refused first. */
+  /** Requests of tiers with a greater number must be rejected first. */
   readonly tier: number;
-  /** Time for which it holds, in milliseconds. */
+  /** Time for which the floor holds, in milliseconds. */
   readonly ttlMs: number;
 }
 
-/** A report on an endpoint's load, with the time of its arrival. @public */
+/** Load report of an endpoint with its time of arrival. @public */
 export interface LoadReport {
   readonly endpoint: EndpointId;
   readonly load: Load;
   readonly at: number;
 }
 
-/** A running attempt, as a sidecar's queue sees it. @public */
+/** An attempt to be queued in a sidecar. @public */
 export interface QueuedAttempt {
   readonly attempt: AttemptId;
   readonly workspace: WorkspaceId;
@@ -101,10 +101,10 @@
   readonly estimatedTokens: number;
   readonly arrivedAt: number;
   readonly deadlineAt: number;
-  /** Weight of the workspace; by default that of its plan in the configuration. */
+  /** Fair-queueing weight of the workspace. Defaults to that of its plan in the configuration. */
   readonly share?: number;
-  /** Part of the estimate that is the prompt, in tokens; lets the estimate be corrected. */
+  /** Prompt part of the estimate, in tokens. Without it the estimate is never corrected. */
   readonly promptTokens?: number;
-  /** False for work that can not be resumed, such as a call of a plain service. Default true. */
+  /** False for work that cannot be resumed, such as a call to a plain service. Default true. */
   readonly isPreemptable?: boolean;
 }
--- a/packages/policy/src/lib/LeastLoadScheduler.ts
+++ b/packages/policy/src/lib/LeastLoadScheduler.ts
@@ -12,8 +12,8 @@
 const RETRY_AFTER_MS = 1_000;
 
 /**
- * Baseline: strict priority by tier and order of arrival in a tier; the endpoint with the least
- * reported load, among those where this entry runs fewer requests than there are slots.
+ * Baseline: strict priority by tier, first in, first out within a tier. Selects the endpoint with the
+ * least reported load among those on which this entry runs fewer requests than there are slots.
  * @public
  */
 export class LeastLoadScheduler extends Scheduler {
@@ -26,7 +26,7 @@
   #candidates: readonly Candidate[] = [];
 
   override configure(_configuration: Configuration): void {
-    // Tiers come with the jobs; nothing else of a plan makes a difference.
+    // Each job carries its tier. Nothing else in a plan is used.
   }
 
   override setCandidates(candidates: readonly Candidate[]): void {
@@ -38,7 +38,7 @@
   }
 
   override cacheChanged(): void {
-    // Affinity makes no difference here.
+    // Routing ignores prefix affinity.
   }
 
   override offer(job: Job): void {
@@ -52,7 +52,7 @@
   }
 
   override progressed(): void {
-    // Nothing is learned from progress.
+    // Progress is not used.
   }
 
   override ended(result: JobResult): void {
@@ -87,7 +87,7 @@
     return new Map(tiers.map(([tier, jobs]) => [tier, jobs.size]));
   }
 
-  /** `pool` remembers within one round that its endpoints are full. */
+  /** Decides on one job. `pool` is shared within a round and marks that its endpoints are full. */
   #decideOne(job: Job, pool: { isFull: boolean }, now: number): Decision | undefined {
     const { request } = job;
     if (now >= job.expiresAt) {
--- a/packages/policy/src/lib/PoolMap.ts
+++ b/packages/policy/src/lib/PoolMap.ts
@@ -1,9 +1,9 @@
 import type { Job } from './Job';
 
-/** What a pool of endpoints serves: one model or one service. @internal */
+/** Key of a pool of endpoints: the one model or service that it serves. @internal */
 export type PoolKey = Pick<Job, 'kind' | 'target'>;
 
-/** Map with one value for each pool of endpoints, created when it is first asked for. @internal */
+/** Map with one value for each pool of endpoints, created on first access. @internal */
 export class PoolMap<Value> {
   readonly #create: (key: PoolKey) => Value;
 
--- a/packages/policy/src/lib/RoundRobinScheduler.ts
+++ b/packages/policy/src/lib/RoundRobinScheduler.ts
@@ -5,7 +5,7 @@
 
 const RETRY_AFTER_MS = 1000;
 
-/** Baseline: one queue in order of arrival, endpoints in turn, no tiers and no affinity. @public */
+/** Baseline: one queue in order of arrival, endpoints in turn, no tiers, no affinity. @public */
 export class RoundRobinScheduler extends Scheduler {
   readonly #waiting = new Map<RequestId, Job>();
 
@@ -16,7 +16,7 @@
   #next = 0;
 
   override configure(_configuration: Configuration): void {
-    // Plans make no difference here.
+    // Plans are not used.
   }
 
   override setCandidates(candidates: readonly Candidate[]): void {
@@ -24,11 +24,11 @@
   }
 
   override loadReported(_report: LoadReport): void {
-    // Load makes no difference here.
+    // Routing ignores the load.
   }
 
   override cacheChanged(): void {
-    // Affinity makes no difference here.
+    // Routing ignores prefix affinity.
   }
 
   override offer(job: Job): void {
@@ -40,7 +40,7 @@
   }
 
   override progressed(): void {
-    // Nothing is learned from progress.
+    // Progress is not used.
   }
 
   override ended(result: JobResult): void {
--- a/packages/policy/src/lib/fair/MovingAverage.ts
+++ b/packages/policy/src/lib/fair/MovingAverage.ts
@@ -1,4 +1,4 @@
-/** Exponential moving average of a figure. @internal */
+/** Exponential moving average. @internal */
 export class MovingAverage {
   readonly #smoothing: number;
 
@@ -21,7 +21,7 @@
 
   observe(sample: number): void {
     this.#samples += 1;
-    // The first samples count as in a plain average, so that a wrong start is soon forgotten.
+    // The first samples are weighted as in a plain mean, so that a wrong initial value fades soon.
     this.#value += Math.max(this.#smoothing, 1 / this.#samples) * (sample - this.#value);
   }
 }
--- a/packages/policy/src/lib/fair/RunTable.ts
+++ b/packages/policy/src/lib/fair/RunTable.ts
@@ -16,7 +16,11 @@
   progressedAt: number;
 }
 
-/** The dispatched jobs of an entry; passes on what is learnt from their progress. @internal */
+/**
+ * The dispatched jobs of an entry. Their progress updates the router, the work estimates and the
+ * work charged to workspaces.
+ * @internal
+ */
 export class RunTable {
   readonly #router: Router;
 
@@ -29,7 +33,7 @@
     this.#estimate = estimate;
   }
 
-  /** A ticket, whose expected work has been charged, was sent to the endpoint. */
+  /** Records the dispatch of a ticket, whose expected work must already be charged. */
   started(ticket: Ticket, endpoint: EndpointId, isUrgent: boolean, now: number): void {
     this.#router.sent(ticket.job, endpoint, isUrgent, now);
     this.#runs.set(ticket.job.request, {
@@ -43,7 +47,7 @@
     });
   }
 
-  /** More of an answer has arrived, in tokens so far. */
+  /** Records more of a response; `answerTokens` is the total so far. */
   progressed(request: RequestId, answerTokens: number, now: number): void {
     const run = this.#runs.get(request);
     if (!run || answerTokens <= run.answerTokens) return;
@@ -61,7 +65,7 @@
     if (excess > 0) RunTable.#charge(run, excess);
   }
 
-  /** A job has left its endpoint. */
+  /** Records that a job has left its endpoint. */
   ended({ request, outcome, answerTokens }: JobResult, now: number): void {
     const run = this.#runs.get(request);
     if (!run) return;
--- a/packages/policy/src/lib/fair/Ticket.ts
+++ b/packages/policy/src/lib/fair/Ticket.ts
@@ -2,7 +2,7 @@
 import type { QueueItem } from '../queue/FairQueue';
 import type { WaitingPool } from './WaitingPool';
 
-/** A job that waits in an entry. @internal */
+/** A job that waits in an entry's queues. @internal */
 export class Ticket implements QueueItem {
   readonly job: Job;
 
@@ -16,7 +16,7 @@
 
   /**
    * @param work expected work, in tokens
-   * @param startBy time by which it must be sent to meet its target, in milliseconds
+   * @param startBy time by which the job must be dispatched to meet its target, in milliseconds
    */
   constructor(job: Job, pool: WaitingPool, work: number, startBy: number) {
     this.job = job;
--- a/packages/policy/src/lib/fair/TierQueue.ts
+++ b/packages/policy/src/lib/fair/TierQueue.ts
@@ -2,7 +2,7 @@
 import { Heap } from '../queue/Heap';
 import type { Ticket } from './Ticket';
 
-/** Dead entries of a heap before it is compacted. */
+/** Size above twice the number of waiting tickets at which a heap is compacted. */
 const COMPACT_AT = 64;
 
 /** The waiting tickets of one tier of a pool. @internal */
@@ -11,13 +11,13 @@
 
   readonly fair = new FairQueue<Ticket>();
 
-  /** Tickets that can still start in time, the most urgent first. */
+  /** Tickets that can still start in time, the earliest start time first. */
   readonly #bySlack = new Heap<Ticket>(
     ({ startBy }) => startBy,
     ({ isWaiting }) => isWaiting,
   );
 
-  /** Tickets by the end of their longest wait. */
+  /** Tickets by the end of their maximum wait. */
   readonly #byExpiry = new Heap<Ticket>(
     ({ job }) => job.expiresAt,
     ({ isWaiting }) => isWaiting,
@@ -49,7 +49,7 @@
     }
   }
 
-  /** The ticket whose longest wait ends first. */
+  /** The ticket whose maximum wait ends first. */
   firstToExpire(): Ticket | undefined {
     return this.#byExpiry.peek();
   }
--- a/packages/policy/src/lib/fair/WaitingPool.ts
+++ b/packages/policy/src/lib/fair/WaitingPool.ts
@@ -9,25 +9,25 @@
 import type { Ticket } from './Ticket';
 import { TierQueue } from './TierQueue';
 
-/** Time left to start at which a ticket goes before late ones of higher tiers, in milliseconds. */
+/** Slack at which a ticket takes precedence over late ones of higher tiers, in milliseconds. */
 const URGENT_SLACK_MS = 250;
 
-/** Time before the end of the longest wait at which a late ticket gives way no more, in ms. */
+/** Time before the end of its maximum wait at which a late ticket regains precedence, in ms. */
 const EXPIRING_MS = 1_000;
 
-/** The same as a part of the longest wait, for short ones. */
+/** The same time as a fraction of the maximum wait, which applies if it is shorter. */
 const EXPIRING_FRACTION = 0.25;
 
-/** Assumed time from the dispatch to the first token before any was seen, in milliseconds. */
+/** Assumed time from dispatch to first token (TTFT) before the first sample, in milliseconds. */
 const INITIAL_TTFT_MS = 200;
 
-/** Factor over the average up to which a time to the first token is counted. */
+/** Multiple of the average at which a TTFT sample is clipped. */
 const MAX_TTFT_GROWTH = 2;
 
-/** Factor over the average from which a time to the first token shows a queue. */
+/** Multiple of the average above which a TTFT shows that the request was queued. */
 const DELAYED_FACTOR = 3;
 
-/** Part of a job's time to its target that the lead takes at most. */
+/** Maximum lead time as a fraction of the time from a job's arrival to its target. */
 const MAX_LEAD_FRACTION = 0.5;
 
 const MIN_RETRY_AFTER_MS = 100;
@@ -36,18 +36,18 @@
 
 const DEFAULT_RETRY_AFTER_MS = 1_000;
 
-/** The next ticket to send. @internal */
+/** The next ticket to dispatch. @internal */
 export interface Selection {
   readonly ticket: Ticket;
-  /** Chosen on its class's guaranteed minimum, ahead of its tier. */
+  /** Selected for its class's guaranteed minimum share, ahead of its tier. */
   readonly isGuaranteed: boolean;
 }
 
 /**
- * The requests that wait in an entry for one model or service. Order of service: classes below
- * their guaranteed minimum; then by tier. Within a tier late tickets give way to those that can
- * still meet their target, and until their longest wait is about to end also to urgent ones of
- * lower tiers.
+ * The requests that wait in an entry for one model or service. Classes below their guaranteed minimum
+ * share are served first, then the tiers in order. Within a tier, tickets that can still meet their
+ * target precede late ones. Urgent tickets of lower tiers also precede late ones, until the maximum
+ * wait of the late ones is about to end.
  * @internal
  */
 export class WaitingPool {
@@ -56,7 +56,7 @@
 
   readonly drainRate = new DrainRate();
 
-  /** Time from the dispatch to the first token, in milliseconds. */
+  /** Time from dispatch to first token, in milliseconds. */
   readonly #ttftMs = new MovingAverage(INITIAL_TTFT_MS);
 
   readonly minimumShare = new MinimumShare();
@@ -87,23 +87,23 @@
     this.minimumShare.configure(classes);
   }
 
-  /** A first token has come this long after the dispatch, in milliseconds. */
+  /** Records the time from a dispatch to its first token, in milliseconds. */
   observeTtft(ttftMs: number): void {
-    // Clipped, since some of the time may have been spent in a sidecar's queue.
+    // Clipped because part of the time may have been spent in a sidecar's queue.
     this.#ttftMs.observe(Math.min(ttftMs, MAX_TTFT_GROWTH * this.#ttftMs.value));
   }
 
-  /** Whether a first token took so long after the dispatch that it must have waited. */
+  /** Whether the time to first token is so long that the request must have been queued. */
   isDelayed(ttftMs: number): boolean {
     return ttftMs > DELAYED_FACTOR * this.#ttftMs.value;
   }
 
-  /** Time before its target at which the job must be sent, in milliseconds. */
+  /** Lead time: time before its target by which a job must be dispatched, in milliseconds. */
   leadMsOf(job: Job): number {
     return Math.min(this.#ttftMs.value, MAX_LEAD_FRACTION * (job.targetAt - job.arrivedAt));
   }
 
-  /** Adds a ticket; `isNew` counts as a demand of its class. */
+  /** Adds a ticket. With `isNew`, it also counts as an arrival of its class. */
   add(ticket: Ticket, now: number, isNew = true): void {
     this.#tierQueueOf(ticket.job.tier).add(ticket);
     this.#classQueueOf(ticket.job.class).add(ticket);
@@ -118,7 +118,7 @@
     this.#waiting -= 1;
   }
 
-  /** The ticket to send next. */
+  /** The ticket to dispatch next. */
   next(now: number): Selection | undefined {
     const guaranteed = this.#nextGuaranteed(now);
     if (guaranteed) return { ticket: guaranteed, isGuaranteed: true };
@@ -126,7 +126,7 @@
     return ticket && { ticket, isGuaranteed: false };
   }
 
-  /** Counts a ticket as sent: its work, and its class's guaranteed minimum. */
+  /** Counts a dispatched ticket: its work, and its class's guaranteed minimum share. */
   sent(ticket: Ticket, now: number): void {
     const { job, work } = ticket;
     this.drainRate.served(work, now);
@@ -134,19 +134,19 @@
     this.minimumShare.served(job.class, work, now, this.#classQueueOf(job.class).waiting > 0);
   }
 
-  /** Counts work against the workspace, in tokens; negative work corrects an estimate. */
+  /** Charges work to the workspace, in tokens; negative work corrects an estimate. */
   charge({ job }: Ticket, work: number): void {
     this.#tierQueueOf(job.tier).fair.charge(job.workspace, job.share, work);
     this.#classQueueOf(job.class).charge(job.workspace, job.share, work);
   }
 
-  /** Tickets of the tier that must be sent at once to meet their target, one for each call. */
+  /** The most urgent ticket of the tier, if it must be dispatched now to meet its target. */
   mostUrgent(tier: TierQueue, now: number): Ticket | undefined {
     const ticket = tier.mostUrgent(now);
     return ticket && ticket.startBy - now <= URGENT_SLACK_MS ? ticket : undefined;
   }
 
-  /** The next ticket of the tier or a higher one among those that can still start in time. */
+  /** The next ticket of the first tier, down to this one, where one can still start in time. */
   nextOnTime(tier: number, now: number): Ticket | undefined {
     for (const queue of this.#tiers) {
       if (queue.tier > tier) return undefined;
@@ -155,7 +155,7 @@
     return undefined;
   }
 
-  /** The youngest ticket of the lowest tier, of the workspace with the largest backlog. */
+  /** The youngest ticket of the lowest tier, from the workspace with the largest backlog. */
   nextToShed(): Ticket | undefined {
     for (let i = this.#tiers.length - 1; i >= 0; i -= 1) {
       const ticket = (this.#tiers[i] as TierQueue).fair.nextToShed();
@@ -168,19 +168,19 @@
     return this.#tiers.some((queue) => queue.tier > tier && queue.fair.waiting > 0);
   }
 
-  /** Tiers lower than this one that the pool has ever had requests of. */
+  /** Number of lower tiers of which the pool has ever had requests. */
   countTiersBelow(tier: number): number {
     return this.#tiers.filter((queue) => queue.tier > tier).length;
   }
 
-  /** Whether the ticket is the last one of a class that is below its guaranteed minimum. */
+  /** Whether the ticket is the last one of a class that is below its guaranteed minimum share. */
   isProtected(ticket: Ticket, now: number): boolean {
     const { job, work } = ticket;
     if (this.#classQueueOf(job.class).waiting > 1) return false;
     return this.minimumShare.isDue(job.class, work, now);
   }
 
-  /** Highest tier whose youngest ticket can not be served within its longest wait. */
+  /** Highest tier whose youngest ticket cannot be served within its maximum wait. */
   overloadedTier(now: number): number | undefined {
     const rate = this.drainRate.get(now);
     if (!rate) return undefined;
@@ -193,7 +193,7 @@
     return undefined;
   }
 
-  /** Time in which the work that goes before a new ticket of the tier drains, in milliseconds. */
+  /** Time to drain the work that precedes a new ticket of the tier, in milliseconds. */
   retryAfterMs(tier: number, now: number): number {
     const rate = this.drainRate.get(now);
     if (!rate) return DEFAULT_RETRY_AFTER_MS;
@@ -203,7 +203,7 @@
     return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, drainMs));
   }
 
-  /** Next time at which the passing of time changes what is to be done, in milliseconds. */
+  /** Next time at which a new decision may be due without an event, in milliseconds. */
   nextAt(now: number): number {
     let next = Infinity;
     for (const queue of this.#tiers) {
@@ -214,7 +214,7 @@
     return next;
   }
 
-  /** The fairest ticket of a class that is below its guaranteed minimum while higher work waits. */
+  /** Next ticket of a class below its guaranteed minimum share while other classes wait too. */
   #nextGuaranteed(now: number): Ticket | undefined {
     for (const [name, queue] of this.#classes) {
       if (queue.waiting === 0 || queue.waiting === this.#waiting) continue;
@@ -224,7 +224,7 @@
     return undefined;
   }
 
-  /** Highest tier first; a late ticket lets urgent ones of lower tiers go before it. */
+  /** Next ticket by tier, the highest first. Urgent tickets of lower tiers precede late ones. */
   #nextByTier(now: number): Ticket | undefined {
     let late: Ticket | undefined;
     for (const queue of this.#tiers) {
@@ -261,7 +261,7 @@
   }
 }
 
-/** Whether the longest wait of a ticket is about to end. */
+/** Whether the maximum wait of a ticket is about to end. */
 function isExpiring({ job }: Ticket, now: number): boolean {
   const expiringMs = Math.min(EXPIRING_MS, EXPIRING_FRACTION * (job.expiresAt - job.arrivedAt));
   return now >= job.expiresAt - expiringMs;
--- a/packages/policy/src/lib/fair/WorkEstimate.ts
+++ b/packages/policy/src/lib/fair/WorkEstimate.ts
@@ -1,24 +1,24 @@
 import type { Job } from '../Job';
 import { MovingAverage } from './MovingAverage';
 
-/** Answers seen before their average is used. */
+/** Number of responses required before their average length is used. */
 const MIN_SAMPLES = 5;
 
-/** Workspaces and classes remembered. */
+/** Maximum number of pairs of workspace and class; the table is cleared when it is full. */
 const CAPACITY = 10_000;
 
-/** Expected work of a job: its prompt, and the usual answer of its workspace and class. @internal */
+/** Expected work of a job: its prompt plus the mean response of its workspace and class. @internal */
 export class WorkEstimate {
   readonly #responseLengths = new Map<string, MovingAverage>();
 
-  /** Expected work, in tokens of prompt and answer; at least 1. */
+  /** Expected work, in tokens of the prompt and the response; at least 1. */
   of(job: Job): number {
     const lengths = this.#responseLengths.get(keyOf(job));
     const isReliable = lengths !== undefined && lengths.samples >= MIN_SAMPLES;
     return Math.max(1, job.promptTokens + (isReliable ? lengths.value : job.answerTokens));
   }
 
-  /** An answer was completed with this many tokens. */
+  /** Records the length of a completed response, in tokens. */
   completed(job: Job, answerTokens: number): void {
     const key = keyOf(job);
     let lengths = this.#responseLengths.get(key);
--- a/packages/policy/src/lib/queue/DrainRate.ts
+++ b/packages/policy/src/lib/queue/DrainRate.ts
@@ -1,15 +1,15 @@
-/** Time over which the rate is averaged, in milliseconds. */
+/** Time constant of the exponential average, in milliseconds. */
 const WINDOW_MS = 5_000;
 
-/** Shortest measurement that is trusted, in milliseconds. */
+/** Shortest measurement that yields a rate, in milliseconds. */
 const MIN_MEASURED_MS = 2_000;
 
-/** Fewest requests in a measurement that is trusted. */
+/** Minimum number of requests in a measurement that yields a rate. */
 const MIN_REQUESTS = 5;
 
 /**
- * Rate at which a queue empties while the pool is saturated, in tokens a second. What is served
- * while there is spare capacity shows the demand and not the capacity, so it is left out.
+ * Rate at which a queue drains while its pool is saturated, in tokens per second. Work served while
+ * capacity is free is not counted, because it shows the demand instead of the capacity.
  * @internal
  */
 export class DrainRate {
@@ -23,7 +23,7 @@
 
   #elapsedMs = 0;
 
-  /** Whether requests had to wait for capacity at this time. */
+  /** Sets whether requests have to wait for capacity from now on. */
   setSaturated(isSaturated: boolean, now: number): void {
     if (!isSaturated) {
       this.#saturatedSince = undefined;
@@ -37,7 +37,7 @@
     this.#elapsedMs = 0;
   }
 
-  /** A request with this expected work, in tokens, has left the queue for an endpoint. */
+  /** Records that a request with this expected work, in tokens, left the queue for an endpoint. */
   served(work: number, now: number): void {
     if (this.#saturatedSince === undefined) return;
     this.#decay(now);
@@ -45,7 +45,7 @@
     this.#work += work;
   }
 
-  /** Tokens a second, or undefined while too little has been measured. */
+  /** Tokens per second, or undefined while too little has been measured. */
   get(now: number): number | undefined {
     if (this.#saturatedSince === undefined) return undefined;
     if (now - this.#saturatedSince < MIN_MEASURED_MS) return undefined;
@@ -54,7 +54,7 @@
     return (this.#work / this.#elapsedMs) * 1000;
   }
 
-  /** Exponential forgetting of both the work and the time in which it was done. */
+  /** Decays the work and the time in which it was served exponentially. */
   #decay(now: number): void {
     const passedMs = now - this.#measuredAt;
     if (passedMs <= 0) return;
--- a/packages/policy/src/lib/queue/FairQueue.ts
+++ b/packages/policy/src/lib/queue/FairQueue.ts
@@ -1,7 +1,7 @@
 import type { WorkspaceId } from '@berylwood/schema';
 import { Heap } from './Heap';
 
-/** What a fair queue needs to know of an item. @internal */
+/** An item of a fair queue. @internal */
 export interface QueueItem {
   readonly workspace: WorkspaceId;
   /** Weight of the workspace. */
@@ -10,7 +10,7 @@
   readonly work: number;
   /** Time by which the item should start, in milliseconds. */
   readonly startBy: number;
-  /** False once it has left the queue, for whatever reason. */
+  /** False once the item has left the queue, for any reason. */
   isWaiting: boolean;
 }
 
@@ -24,24 +24,24 @@
   backlog: number;
   /** Items that can still start in time, earliest deadline first. */
   readonly onTime: Heap<T>;
-  /** Items that have missed their time, in the order in which they did. */
+  /** Items that can no longer start in time, in the order in which their time passed. */
   late: T[];
   lateHead: number;
   /** All items in order of arrival, to find the youngest. */
   arrivals: T[];
 }
 
-/** Mean items by which a workspace may fall behind because its items are late. */
+/** Maximum lag of a workspace whose items are late, in items of mean work. */
 const MAX_LAG_ITEMS = 8;
 
-/** Dead items in a list before it is compacted. */
+/** Size above twice the number of waiting items at which the lists of a flow are compacted. */
 const COMPACT_AT = 64;
 
 /**
- * Start-time fair queueing between workspaces, weighted by share and counted in work; earliest
- * deadline first within a workspace. Items that can no longer start in time give way to those that
- * can. Selection scans the workspaces that have items waiting, so it is linear in their number and
- * independent of the number of items.
+ * Start-time fair queueing between workspaces, weighted by share and measured in work. Within a
+ * workspace, items are served earliest deadline first. Items that can no longer start in time are
+ * served after those that can. Selection scans the workspaces that have items waiting, so it is
+ * linear in their number and independent of the number of items.
  * @internal
  */
 export class FairQueue<T extends QueueItem> {
@@ -49,19 +49,19 @@
 
   readonly #active: Flow<T>[] = [];
 
-  /** Virtual time at which the queue was empty last. */
+  /** Virtual time at which the queue last became empty. */
   #virtualTime = 0;
 
   #waiting = 0;
 
   #backlog = 0;
 
-  /** Items that wait. */
+  /** Number of waiting items. */
   get waiting(): number {
     return this.#waiting;
   }
 
-  /** Work that waits, in tokens. */
+  /** Waiting work, in tokens. */
   get backlog(): number {
     return this.#backlog;
   }
@@ -82,7 +82,7 @@
     this.#backlog += item.work;
   }
 
-  /** Takes an item out; the caller has cleared or clears its `isWaiting`. */
+  /** Removes an item. The caller sets its `isWaiting` to false, before or right after. */
   remove(item: T): void {
     const flow = this.#flowOf(item.workspace);
     flow.waiting -= 1;
@@ -94,8 +94,8 @@
   }
 
   /**
-   * The item to serve next: one that can still start in time, unless that would take the workspace
-   * of a late one too far below its fair share.
+   * The item to serve next: one that can still start in time, unless the workspace of a late item
+   * would then fall too far below its fair share.
    */
   peek(now: number): T | undefined {
     let onTime: Flow<T> | undefined;
@@ -109,7 +109,7 @@
     return chosen && (FairQueue.#onTimeHead(chosen, now) ?? FairQueue.#lateHead(chosen));
   }
 
-  /** All items that have missed their time. */
+  /** All items that can no longer start in time. */
   listLate(now: number): T[] {
     return this.#active.flatMap((flow) => {
       FairQueue.#onTimeHead(flow, now);
@@ -117,7 +117,7 @@
     });
   }
 
-  /** The youngest item of the workspace with the largest backlog for its share. */
+  /** The youngest item of the workspace with the largest backlog relative to its share. */
   nextToShed(): T | undefined {
     let largest: Flow<T> | undefined;
     for (const flow of this.#active) {
@@ -128,24 +128,24 @@
     return largest.arrivals.at(-1);
   }
 
-  /** Counts served work, in tokens, against a workspace; negative work corrects an estimate. */
+  /** Charges served work to a workspace, in tokens; negative work corrects an estimate. */
   charge(workspace: WorkspaceId, share: number, work: number): void {
     const flow = this.#flowOf(workspace);
     flow.virtualTime += work / share;
   }
 
-  /** Whether a workspace with late items only has fallen too far behind another one. */
+  /** Whether a workspace that has only late items lags too far behind another one. */
   #exceedsMaxLag(late: Flow<T>, onTime: Flow<T>): boolean {
     const meanWork = this.#backlog / this.#waiting;
     return onTime.virtualTime - late.virtualTime > this.#maxLag(late, meanWork);
   }
 
-  /** Virtual time by which a workspace may be behind the others, for the usual work of an item. */
+  /** Maximum virtual time by which a workspace may lag, for items of the given work. */
   #maxLag({ share }: Flow<T>, work: number): number {
     return (MAX_LAG_ITEMS * work) / share;
   }
 
-  /** Virtual time at which a workspace that has had nothing waiting joins the others. */
+  /** Lowest virtual time of the active workspaces; a workspace that becomes active starts near it. */
   #lowestVirtualTime(): number {
     let lowest = Infinity;
     for (const flow of this.#active) lowest = Math.min(lowest, flow.virtualTime);
@@ -173,7 +173,7 @@
     return flow;
   }
 
-  /** First item that can start in time; moves those before it to the late ones. */
+  /** First item that can still start in time. Moves the items before it to the late list. */
   static #onTimeHead<T extends QueueItem>(flow: Flow<T>, now: number): T | undefined {
     for (;;) {
       const head = flow.onTime.peek();
--- a/packages/policy/src/lib/queue/Heap.ts
+++ b/packages/policy/src/lib/queue/Heap.ts
@@ -1,6 +1,6 @@
 /**
- * Binary min-heap with lazy deletion: an item that `isLive` denies is dropped when it reaches the
- * top. Push and pop take O(log n). @internal
+ * Binary min-heap with lazy deletion: an item for which `isLive` returns false is dropped when it
+ * reaches the top. Push and pop take O(log n). @internal
  */
 export class Heap<T> {
   readonly #items: T[] = [];
@@ -14,7 +14,7 @@
     this.#isLive = isLive;
   }
 
-  /** Items held, including dead ones that have not been dropped yet. */
+  /** Number of items, including dead ones that have not been dropped yet. */
   get size(): number {
     return this.#items.length;
   }
--- a/packages/policy/src/lib/queue/MinimumShare.ts
+++ b/packages/policy/src/lib/queue/MinimumShare.ts
@@ -1,23 +1,23 @@
 import type { RequestClass } from '@berylwood/schema';
 
-/** Account of one class. */
+/** Service account of one class. */
 interface ClassAccount {
   readonly minimumShare: number;
   readonly maxWaitMs: number;
-  /** Guaranteed work that the class has not had yet, in tokens. */
+  /** Guaranteed work that has not been served yet, in tokens. */
   deficit: number;
-  /** Largest deficit kept: the work of a few requests of the class. */
+  /** Maximum deficit: the work of a few requests of the class. */
   cap: number;
-  /** Time of the latest demand; undefined before the first. */
+  /** Time of the latest arrival; undefined before the first. */
   lastArrivalAt: number | undefined;
-  /** Since when the class has had demand and no service; undefined when it has none. */
+  /** Start of the current period with demand but no service; undefined without demand. */
   unservedSince: number | undefined;
 }
 
-/** Requests' worth of guaranteed work that a class may save up. */
+/** Maximum guaranteed work that a class accumulates, in requests. */
 const MAX_SAVED_REQUESTS = 2;
 
-/** Part of the longest wait after which a class without any service is due. */
+/** Fraction of the maximum wait after which a class without any service is due. */
 const UNSERVED_FRACTION = 0.25;
 
 const UNKNOWN_CLASS: Pick<RequestClass, 'minimumShare' | 'maxWaitMs'> = {
@@ -26,9 +26,9 @@
 };
 
 /**
- * Guaranteed minimum of each class, as a deficit counter: while a class has demand, each unit of
- * work served to any class adds its minimum share to its deficit. A class is due when the deficit
- * covers its next request, or when it has had no service for a quarter of its longest wait.
+ * Guaranteed minimum share of each class, kept as a deficit counter. While a class has demand, each
+ * unit of work served to any class adds its minimum share to its deficit. A class is due when the
+ * deficit covers its next request, or after a quarter of its maximum wait without any service.
  * @internal
  */
 export class MinimumShare {
@@ -43,7 +43,7 @@
     }
   }
 
-  /** A request of the class, with its expected work in tokens, has arrived. */
+  /** Records the arrival of a request of the class, with its expected work in tokens. */
   arrived(name: string, work: number, now: number): void {
     const account = this.#accountOf(name);
     account.lastArrivalAt = now;
@@ -54,7 +54,7 @@
     );
   }
 
-  /** A request of the class has been started with this expected work, in tokens. */
+  /** Records the start of a request of the class, with its expected work in tokens. */
   served(name: string, work: number, now: number, isStillWaiting: boolean): void {
     for (const account of this.#accounts.values()) {
       if (!MinimumShare.#hasDemand(account, now)) continue;
@@ -65,7 +65,7 @@
     servedAccount.unservedSince = isStillWaiting ? now : undefined;
   }
 
-  /** Whether the class's next request, with this expected work in tokens, is due now. */
+  /** Whether the next request of the class is due now, given its expected work in tokens. */
   isDue(name: string, work: number, now: number): boolean {
     const account = this.#accounts.get(name);
     if (!account) return false;
@@ -73,7 +73,7 @@
     return now >= MinimumShare.#dueAt(account);
   }
 
-  /** Time at which a waiting class becomes due at the latest, in milliseconds. */
+  /** Latest time at which a waiting class becomes due, in milliseconds. */
   dueAt(name: string): number {
     const account = this.#accounts.get(name);
     return account ? MinimumShare.#dueAt(account) : Infinity;
