--- a/packages/policy/src/lib/limits/LimitDivider.ts
+++ b/packages/policy/src/lib/limits/LimitDivider.ts
@@ -7,7 +7,7 @@
   type LimitUse,
 } from './LimitGrant';
 
-/** Part of a limit that is divided evenly whatever the use, so that a new burst finds something. */
+/** Fraction of a limit that is divided evenly regardless of use, as capacity for a new burst. */
 const EVEN_FRACTION = 0.1;
 
 interface EntryReport {
@@ -16,9 +16,9 @@
 }
 
 /**
- * Divides the limits of workspaces between entries by their reported use; it runs where the
- * entries' reports come together. An entry that is not heard from keeps its even part reserved, as
- * it falls back to that, so that the others together never get more than the rest.
+ * Divides the limits of workspaces between entries by their reported use. It runs where the reports
+ * of all entries arrive. An entry without a recent report falls back to its even share, so that share
+ * stays reserved and the reporting entries together never get more than the rest.
  * @public
  */
 export class LimitDivider<Entry> {
@@ -33,7 +33,7 @@
     this.#configuration = configuration;
   }
 
-  /** Takes in all entries that may be running, heard from or not. */
+  /** Sets all entries that may be running, whether or not they report. */
   setEntries(entries: readonly Entry[]): void {
     this.#entries = entries;
     for (const entry of [...this.#reports.keys()]) {
@@ -41,7 +41,7 @@
     }
   }
 
-  /** Takes in an entry's use and returns its grants for the next term. */
+  /** Records an entry's use and returns its grants for the next term. */
   useReported(entry: Entry, uses: readonly LimitUse[], now: number): LimitGrants {
     const usesByWorkspace = new Map(uses.map((use) => [use.workspace, use]));
     this.#reports.set(entry, { uses: usesByWorkspace, at: now });
@@ -61,7 +61,7 @@
     return { workspace, tokenShare, requests: this.#requests(workspace, reporting, index) };
   }
 
-  /** Whole requests by the method of largest remainders, of what the unheard entries leave. */
+  /** Number of requests by the largest remainder method, from what non-reporting entries leave. */
   #requests(workspace: WorkspaceId, reporting: readonly Entry[], index: number): number {
     const plan = this.#configuration?.customers[workspace]?.plan ?? '';
     const limit = this.#configuration?.plans[plan]?.concurrentRequests;
@@ -94,7 +94,7 @@
   }
 }
 
-/** Part of a whole for one of several by weight, of which a small part is divided evenly. */
+/** Fraction for one of several weights; `EVEN_FRACTION` of the total is divided evenly. */
 function weightedFraction(weights: readonly number[], index: number): number {
   const sum = weights.reduce((total, weight) => total + weight, 0);
   const even = 1 / weights.length;
--- a/packages/policy/src/lib/limits/TokenBucket.ts
+++ b/packages/policy/src/lib/limits/TokenBucket.ts
@@ -1,6 +1,6 @@
 /**
  * Token bucket that may be overdrawn once: a request is admitted while the level is positive and
- * pays its whole work, since the work of one request may exceed the bucket.
+ * consumes its whole work, because the work of one request may exceed the capacity.
  * @internal
  */
 export class TokenBucket {
@@ -13,7 +13,7 @@
   #filledAt: number;
 
   /**
-   * @param rate tokens a second
+   * @param rate tokens per second
    * @param capacity largest level, in tokens; the bucket starts full
    */
   constructor(rate: number, capacity: number, now: number) {
@@ -31,7 +31,7 @@
     return this.#level;
   }
 
-  /** Changes the rate and capacity from now on; the level is kept up to the new capacity. */
+  /** Changes the rate and the capacity from now on. The level is reduced to the new capacity. */
   resize(rate: number, capacity: number, now: number): void {
     this.level(now);
     this.#rate = rate;
@@ -39,12 +39,12 @@
     this.#level = Math.min(this.#level, capacity);
   }
 
-  /** Takes tokens; a negative number gives them back. */
+  /** Consumes tokens; a negative number returns them. */
   consume(tokens: number, now: number): void {
     this.#level = Math.min(this.#capacity, this.level(now) - tokens);
   }
 
-  /** Time until the level is positive, in milliseconds; Infinity when it does not fill. */
+  /** Time until the level is positive, in milliseconds; Infinity if the bucket does not fill. */
   waitMs(now: number): number {
     const level = this.level(now);
     if (level > 0) return 0;
--- a/packages/policy/src/lib/limits/WorkspaceLimiter.ts
+++ b/packages/policy/src/lib/limits/WorkspaceLimiter.ts
@@ -10,25 +10,25 @@
 } from './LimitGrant';
 import { TokenBucket } from './TokenBucket';
 
-/** Work that may be saved up, as a time at the workspace's rate, in milliseconds. */
+/** Capacity of a workspace's token bucket, as time at the workspace's rate, in milliseconds. */
 const BURST_MS = 2_000;
 
-/** Time after which a request refused for the number of requests may try again, in milliseconds. */
+/** Retry time reported for a request over the limit of concurrent requests, in milliseconds. */
 const CONCURRENCY_RETRY_AFTER_MS = 1_000;
 
 /** State of one workspace in one entry. */
 interface Account {
   readonly bucket: TokenBucket;
   running: number;
-  /** Since the last report. */
+  /** Tokens requested and peak number of requests since the last report. */
   requestedTokens: number;
   peakRequests: number;
 }
 
 /**
- * Holds the limits of workspaces in one entry without asking anyone for each request: the entry has
- * a part of each limit, granted for a term by its use. When no new grant comes it falls back to an
- * even part. So all entries together exceed a limit for no longer than one term and the burst.
+ * Enforces the limits of workspaces in one entry without a remote call for each request. The entry
+ * holds a share of each limit, granted for a term according to its use. Without a new grant it falls
+ * back to an even share. All entries together exceed a limit for at most one term and the burst.
  * @public
  */
 export class WorkspaceLimiter {
@@ -46,7 +46,7 @@
 
   #reportedAt: number;
 
-  /** @param now start of the first report's interval, in monotonic milliseconds */
+  /** @param now start of the first report interval, in monotonic milliseconds */
   constructor(now: number) {
     this.#reportedAt = now;
   }
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Takes in grants.
-   * @param requestedAt time at which the entry asked for them, so that delays shorten their term
+   * Applies new grants.
+   * @param requestedAt time at which the entry requested them, so that delays shorten their term
    */
   grantsReceived({ grants, entries, position }: LimitGrants, requestedAt: number): void {
     this.#grants = new Map(grants.map((grant) => [grant.workspace, grant]));
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Admits a request with its expected work in tokens, or fails with `limitReached`. Each admitted
-   * request must be given back by `ended`.
+   * Admits a request with its expected work in tokens, or fails with `limitReached`. The caller must
+   * call `ended` for each admitted request.
    */
   admit(workspace: WorkspaceId, work: number, now: number): Result<void, Failure> {
     const plan = this.#planOf(workspace);
@@ -76,23 +76,31 @@
     account.requestedTokens += work;
     account.peakRequests = Math.max(account.peakRequests, account.running + 1);
     if (account.running >= this.#requestLimitOf(workspace, plan, now)) {
-      return fail(requestCodes.limitReached, `${workspace} has its limit of requests running`, {
-        retryAfterMs: CONCURRENCY_RETRY_AFTER_MS,
-      });
+      return fail(
+        requestCodes.limitReached,
+        `${workspace} has reached its limit of concurrent requests`,
+        {
+          retryAfterMs: CONCURRENCY_RETRY_AFTER_MS,
+        },
+      );
     }
     const waitMs = plan?.tokensPerSecond === undefined ? 0 : account.bucket.waitMs(now);
     if (waitMs > 0) {
       const retryAfterMs = Math.min(waitMs, GRANT_TERM_MS);
-      return fail(requestCodes.limitReached, `${workspace} is over its tokens a second`, {
-        retryAfterMs,
-      });
+      return fail(
+        requestCodes.limitReached,
+        `${workspace} has exceeded its limit of tokens per second`,
+        {
+          retryAfterMs,
+        },
+      );
     }
     account.bucket.consume(work, now);
     account.running += 1;
     return ok(undefined);
   }
 
-  /** An admitted request has ended; `correction` is its work beyond what was expected, in tokens. */
+  /** Ends an admitted request; `correction` is its actual minus its expected work, in tokens. */
   ended(workspace: WorkspaceId, correction: number, now: number): void {
     const account = this.#accounts.get(workspace);
     if (!account) return;
@@ -100,7 +108,7 @@
     account.running = Math.max(0, account.running - 1);
   }
 
-  /** Use since the last report, of workspaces that had any. */
+  /** Returns the use since the last report, for workspaces with any, and starts a new interval. */
   report(now: number): LimitUse[] {
     const seconds = Math.max(1, now - this.#reportedAt) / 1000;
     this.#reportedAt = now;
--- a/packages/policy/src/lib/local/AttemptItem.ts
+++ b/packages/policy/src/lib/local/AttemptItem.ts
@@ -3,13 +3,14 @@
 import type { QueueItem } from '../queue/FairQueue';
 
 /**
- * Where an attempt is: `waiting` has not run, `running` holds a slot, `stopping` holds one until
- * its preemption is confirmed, `suspended` has run and waits to be resumed.
+ * Phase of an attempt: `waiting` has not run, `running` holds a slot, `stopping` holds a slot until
+ * its preemption is confirmed, `suspended` was preempted and waits to be resumed, `gone` has left the
+ * queue.
  * @internal
  */
 export type AttemptPhase = 'waiting' | 'running' | 'stopping' | 'suspended' | 'gone';
 
-/** An attempt in a sidecar's queue with its progress. @internal */
+/** An attempt in a sidecar's queue, with its phase and progress. @internal */
 export class AttemptItem implements QueueItem {
   readonly attempt: QueuedAttempt;
 
@@ -24,10 +25,10 @@
   /** Work charged to the workspace so far, in tokens. */
   charged = 0;
 
-  /** Time of the latest arrival in the queue, in milliseconds. */
+  /** Time at which the attempt last started to wait, in milliseconds. */
   queuedAt: number;
 
-  /** Started on its class's guaranteed minimum: not preempted. */
+  /** True if started for its class's guaranteed minimum share; it is then never preempted. */
   isGuaranteed = false;
 
   constructor(attempt: QueuedAttempt, share: number, now: number) {
@@ -60,21 +61,21 @@
     return this.phase === 'running' || this.phase === 'stopping';
   }
 
-  /** Work done so far, in tokens, as far as it is known. */
+  /** Work done so far, in tokens; the whole estimate if the prompt's length is unknown. */
   get doneTokens(): number {
     const { promptTokens } = this.attempt;
     return promptTokens === undefined ? this.work : promptTokens + this.answerTokens;
   }
 
-  /** Whether it may be stopped for work of a higher tier. */
+  /** Whether the attempt may be preempted for work of a higher tier. */
   isPreemptable(maxPreemptions: number): boolean {
     if (this.phase !== 'running' || this.isGuaranteed) return false;
     return this.attempt.isPreemptable !== false && this.preemptions < maxPreemptions;
   }
 
-  /** Moves to the next phase. */
+  /** Enters a phase. Asserts that the attempt has not left the queue. */
   enter(phase: AttemptPhase): void {
-    assert(this.phase !== 'gone', 'an attempt that has left the queue does not change');
+    assert(this.phase !== 'gone', 'an attempt that has left the queue cannot change its phase');
     this.phase = phase;
   }
 }
--- a/packages/policy/src/lib/local/FairLocalQueue.ts
+++ b/packages/policy/src/lib/local/FairLocalQueue.ts
@@ -13,7 +13,7 @@
 } from './LocalQueue';
 import { selectVictim } from './selectVictim';
 
-/** Waiting time after which lower work is preempted, in milliseconds: free slots come first. */
+/** Wait before lower-tier work is preempted, in milliseconds, so that free slots are used first. */
 const PREEMPTION_DELAY_MS = 20;
 
 const DEFAULT_MAX_PREEMPTIONS = 3;
@@ -25,9 +25,9 @@
 const MAX_RETRY_AFTER_MS = 60_000;
 
 /**
- * Strict tiers with a guaranteed minimum for each class, fair between workspaces within a tier.
- * When the queue is full the youngest attempt of the lowest tier is refused. An attempt of a higher
- * tier that finds no slot preempts one of the lowest tier, which is resumed later.
+ * Strict tiers with a guaranteed minimum share for each class, and fair queueing between workspaces
+ * within a tier. A full queue rejects the youngest attempt of its lowest tier. An attempt without a
+ * free slot preempts a running one of the lowest tier below its own, which is resumed later.
  * @public
  */
 export class FairLocalQueue extends LocalQueue {
@@ -180,7 +180,7 @@
     return { type: 'start', attempt: item.attempt.attempt, isResumed };
   }
 
-  /** The oldest attempt of a class that has not had its guaranteed minimum. */
+  /** The oldest attempt of a class below its guaranteed minimum share. */
   #nextGuaranteed(now: number): AttemptItem | undefined {
     const waiting = [...this.#items.values()].filter(({ holdsSlot }) => !holdsSlot);
     const due = waiting.find(({ attempt, work }) =>
@@ -191,7 +191,7 @@
     return due;
   }
 
-  /** The next attempt of the highest tier that waits; suspended ones go first in their tier. */
+  /** The next attempt of the highest waiting tier. Suspended ones come first within their tier. */
   #nextByTier(now: number): AttemptItem | undefined {
     let suspended: AttemptItem | undefined;
     for (const item of this.#items.values()) {
@@ -229,7 +229,7 @@
     };
   }
 
-  /** Time in which the work that goes before a new attempt of the tier drains. */
+  /** Time to drain the work that precedes a new attempt of the tier, in milliseconds. */
   #retryAfterMs(tier: number, now: number): number {
     const rate = this.#drainRate.get(now);
     if (!rate) return DEFAULT_RETRY_AFTER_MS;
@@ -239,7 +239,7 @@
     return Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, drainMs));
   }
 
-  /** One preemption for each waiting attempt of a higher tier that has no slot to come. */
+  /** Preempts one attempt for each waiting one of a higher tier for which no slot will be free. */
   #preempt(now: number): LocalDecision[] {
     const decisions: LocalDecision[] = [];
     const running = this.#running();
--- a/packages/policy/src/lib/local/FifoLocalQueue.ts
+++ b/packages/policy/src/lib/local/FifoLocalQueue.ts
@@ -9,7 +9,7 @@
 
 const RETRY_AFTER_MS = 1_000;
 
-/** Baseline: first in, first out; refuses the newest when full; never preempts. @public */
+/** Baseline: first in, first out. Rejects the newest when full and never preempts. @public */
 export class FifoLocalQueue extends LocalQueue {
   readonly #waiting = new Map<AttemptId, QueuedAttempt>();
 
@@ -25,7 +25,7 @@
   }
 
   override configure(): void {
-    // Plans make no difference here.
+    // Plans are not used.
   }
 
   override offer(attempt: QueuedAttempt): void {
@@ -37,7 +37,7 @@
   }
 
   override progressed(): void {
-    // Nothing is learned from progress.
+    // Progress is not used.
   }
 
   override ended(attempt: AttemptId): void {
@@ -45,7 +45,7 @@
   }
 
   override preempted(): void {
-    // Nothing is ever preempted.
+    // This queue never preempts.
   }
 
   override decide(now: number): LocalDecision[] {
--- a/packages/policy/src/lib/local/LocalQueue.ts
+++ b/packages/policy/src/lib/local/LocalQueue.ts
@@ -2,16 +2,16 @@
 import type { Code } from '@berylwood/base';
 import type { QueuedAttempt } from '../Job';
 
-/** What a sidecar's queue wants done. @public */
+/** An action that a queue requests from its sidecar. @public */
 export type LocalDecision =
   | {
       readonly type: 'start';
       readonly attempt: AttemptId;
-      /** True when the attempt was preempted before and its stream is to be resumed. */
+      /** True if the attempt was preempted before and its stream must be resumed. */
       readonly isResumed: boolean;
     }
   | {
-      /** The attempt was not handed over and never will be: "not run" is true of it. */
+      /** The attempt was never sent to the endpoint and never will be, so it counts as "not run". */
       readonly type: 'refuse';
       readonly attempt: AttemptId;
       readonly code: Code;
@@ -23,54 +23,54 @@
       readonly attempt: AttemptId;
     };
 
-/** The part of a load report that the queue knows. @public */
+/** The part of a load report that the queue provides. @public */
 export type QueueLoad = Pick<
   Load,
   'slots' | 'running' | 'waiting' | 'waitingTier' | 'runningTier' | 'credits' | 'generation'
 >;
 
 /**
- * Decides in a sidecar which waiting attempt goes next into the endpoint's slots, which is refused
- * and which running one is preempted. It does no I/O and reads no clock.
+ * Decides for a sidecar which waiting attempts get the endpoint's free slots, which are rejected and
+ * which running ones are preempted. It performs no I/O and reads no clock.
  * @public
  */
 export abstract class LocalQueue {
-  /** Takes in a new configuration. */
+  /** Applies a new configuration. */
   abstract configure(configuration: Configuration): void;
 
-  /** An attempt has arrived. */
+  /** Queues an attempt that has arrived. */
   abstract offer(attempt: QueuedAttempt, now: number): void;
 
-  /** Takes a waiting attempt out; true when it was waiting, so that it never runs. */
+  /** Removes a waiting attempt. Returns true if it has never run and now never will. */
   abstract withdraw(attempt: AttemptId, now: number): boolean;
 
-  /** More of the answer of a running attempt has arrived, in tokens so far. */
+  /** Records more of a running attempt's response; `answerTokens` is the total so far. */
   abstract progressed(attempt: AttemptId, answerTokens: number, now: number): void;
 
-  /** A running attempt has ended, in whatever way. */
+  /** Records that a running attempt has ended, for any reason. */
   abstract ended(attempt: AttemptId, now: number): void;
 
-  /** A running attempt has been stopped as decided; it waits again until it is resumed. */
+  /** Confirms that a running attempt was preempted. It waits until it is resumed. */
   abstract preempted(attempt: AttemptId, now: number): void;
 
-  /** Decisions due now. */
+  /** Returns the decisions due now. */
   abstract decide(now: number): LocalDecision[];
 
-  /** Time at which to ask again without a new event; undefined when only events matter. */
+  /** Time at which `decide` is next due without a new event; undefined if only events matter. */
   abstract nextAt(now: number): number | undefined;
 
-  /** Load for the next report; each call has a new generation. */
+  /** Returns the load for the next report. Each call increments its generation. */
   abstract load(): QueueLoad;
 }
 
 /** Options of a local queue. @public */
 export interface LocalQueueOptions {
-  /** Attempts handed to the endpoint at a time. */
+  /** Maximum number of attempts running on the endpoint at a time. */
   readonly slots: number;
-  /** Attempts held in the queue. */
+  /** Maximum number of waiting attempts, without suspended ones. */
   readonly capacity: number;
-  /** Attempts that may wait here while all slots are taken, so that none stands idle. Default 1. */
+  /** Attempts that may wait while all slots are in use, so that no slot is idle. Default 0. */
   readonly lookahead?: number;
-  /** How often one attempt may be preempted. Default 3. */
+  /** Maximum number of preemptions of one attempt. Default 3. */
   readonly maxPreemptions?: number;
 }
--- a/packages/policy/src/lib/local/selectVictim.ts
+++ b/packages/policy/src/lib/local/selectVictim.ts
@@ -1,9 +1,10 @@
 import type { AttemptItem } from './AttemptItem';
 
 /**
- * The running attempt to preempt for one of a higher tier: of the lowest tier, and there the one
- * with the least work done, whose prompt is the cheapest to read again. Never one of the same or a
- * higher tier, one that has been preempted as often as allowed, or one on its class's minimum.
+ * Selects the running attempt to preempt for one of a higher tier: from the lowest tier, the one with
+ * the least work done, because its prompt is the cheapest to process again. Never selects one of the
+ * same or a higher tier, one that has reached `maxPreemptions`, or one that was started for its
+ * class's guaranteed minimum share.
  * @internal
  */
 export function selectVictim(
