--- a/packages/policy/src/lib/FairScheduler.test.ts
+++ b/packages/policy/src/lib/FairScheduler.test.ts
@@ -25,7 +25,7 @@
 const requestsOf = (decisions: readonly Decision[], type: Decision['type']) =>
   decisions.filter((decision) => decision.type === type).map(({ request }) => request);
 
-test('sends the higher tier first and holds what has no room', () => {
+test('dispatches the higher tier first and keeps requests waiting without a free slot', () => {
   const scheduler = createScheduler();
   const low = createJob({ tier: 3 });
   const high = createJob({ tier: 1 });
@@ -37,7 +37,7 @@
   assert.deepEqual(requestsOf(scheduler.decide(10), 'dispatch'), [low.request]);
 });
 
-test('sends an urgent request to a full endpoint that runs lower work', () => {
+test('dispatches an urgent request to a full endpoint that runs lower-tier work', () => {
   const scheduler = createScheduler();
   scheduler.loadReported({
     endpoint: asId('e1'),
@@ -58,7 +58,7 @@
   });
 });
 
-test('a late request gives way to one that can still meet its target', () => {
+test('serves a late request after one that can still meet its target', () => {
   const scheduler = createScheduler();
   const late = createJob({ targetAt: 100 });
   const onTime = createJob({ arrivedAt: 500, targetAt: 5_000, workspace: asId('beta') });
@@ -67,7 +67,7 @@
   assert.deepEqual(requestsOf(scheduler.decide(500), 'dispatch'), [onTime.request]);
 });
 
-test('at the end of the longest wait the lowest tier is refused', () => {
+test('rejects the lowest tier at the end of the maximum wait', () => {
   const scheduler = createScheduler();
   const running = createJob({ tier: 1 });
   scheduler.offer(running, 0);
@@ -85,7 +85,7 @@
   assert.equal(decision?.request, waiting.request);
 });
 
-test('refuses without any endpoint once the target time has passed', () => {
+test('rejects a request without any endpoint once its target time has passed', () => {
   const scheduler = new FairScheduler();
   const job = createJob({ targetAt: 1_000 });
   scheduler.offer(job, 0);
@@ -93,7 +93,7 @@
   assert.deepEqual(requestsOf(scheduler.decide(1_001), 'refuse'), [job.request]);
 });
 
-test('passes a floor on, and refuses a tier only after the notice', () => {
+test('propagates a floor, and rejects a tier only after the propagation delay', () => {
   const [first, second] = [1, 2].map((seed) => {
     const scheduler = new FairScheduler({ seed, floorDelayMs: 100 });
     scheduler.setCandidates(createCandidates(1, { slots: 1 }), 0);
@@ -117,7 +117,7 @@
   assert.deepEqual(requestsOf(first.decide(1_100), 'refuse'), [high.request]);
 });
 
-test('a class below its minimum share goes before higher tiers', () => {
+test('serves a class below its minimum share before higher tiers', () => {
   const scheduler = new FairScheduler();
   const classes = { chat: createClass(), letter: createClass({ minimumShare: 0.1 }) };
   scheduler.configure(createConfiguration({ classes }));
@@ -140,7 +140,7 @@
 const ENDPOINTS = 4;
 const DECODE_MS = 25;
 const PROMPT_TOKENS = 80;
-/** Requests a second that the endpoints of the exercise can serve, of 150 tokens each. */
+/** Requests per second that the simulated endpoints can serve, with 150 tokens each. */
 const CAPACITY_RPS = (SLOTS * ENDPOINTS * 1_000) / (150 * DECODE_MS + 35);
 
 interface Stream {
@@ -218,7 +218,7 @@
   { workspace: 'office', class: 'letter', tier: 5, requestsPerSecond: 0.4 * factor * CAPACITY_RPS },
 ];
 
-test('the top tier attains 99% at three times the capacity when its own demand fits', () => {
+test('99% of the top tier meet their target at three times the capacity if its own demand fits', () => {
   for (const seed of [1, 2, 3]) {
     const traces = runSimulation(overload(3), 60_000, { seed });
     const guidance = traces.filter(({ job }) => job.class === 'guidance' && job.targetAt <= 60_000);
@@ -227,7 +227,7 @@
   }
 });
 
-test('no class starves and no wait exceeds its limit, whatever the top tier does', () => {
+test('no class starves and no wait exceeds its limit while the top tier overloads the endpoints', () => {
   const streams = [
     { workspace: 'crew', class: 'guidance', tier: 1, requestsPerSecond: 3 * CAPACITY_RPS },
     { workspace: 'shop', class: 'chat', tier: 2, requestsPerSecond: 0.5 },
@@ -277,7 +277,7 @@
   }
 });
 
-test('a slow endpoint costs hardly any request its target', () => {
+test('at most 2% of the requests miss their target because of a slow endpoint', () => {
   const slowness = (endpoint: number, now: number) => (endpoint === 0 && now > 10_000 ? 10 : 1);
   const streams: Stream[] = [
     { workspace: 'shop', class: 'chat', tier: 2, requestsPerSecond: 0.6 * CAPACITY_RPS },
@@ -289,7 +289,7 @@
   assert.ok(late <= 0.02 * traces.length, `${late} of ${traces.length}`);
 });
 
-test('refuses early under overload, and a retry after the told time finds room', () => {
+test('rejects early under overload, with a retry time in which the queue drains', () => {
   const streams: Stream[] = [
     {
       workspace: 'shop',
@@ -304,13 +304,13 @@
   const early = rejected.filter(({ job, refusedAt = 0 }) => refusedAt < job.expiresAt - 10_000);
   assert.ok(early.length >= 0.5 * rejected.length, `${early.length} of ${rejected.length}`);
   const retryDelays = rejected.map(({ retryAfterMs = 0 }) => retryAfterMs);
-  // The queue holds about one longest wait of work; it drains in that time without new arrivals.
+  // The queue holds about one maximum wait of work, which drains in that time without new arrivals.
   assert.ok(retryDelays.every((retryAfterMs) => retryAfterMs > 0 && retryAfterMs <= 25_000));
   const longestDelay = Math.max(...retryDelays);
   assert.ok(longestDelay >= 15_000, `${longestDelay}`);
 });
 
-/** Random events at one entry; checks each refusal against a plain list of what waits. */
+/** Applies random events to one scheduler and checks each rejection against the waiting requests. */
 function checkRejections(steps: readonly (readonly [number, number, number])[]): void {
   const scheduler = createScheduler(2, 2);
   const waiting = new Map<string, number>();
@@ -337,7 +337,7 @@
   }
 }
 
-test('never refuses a higher tier while lower work waits, in any history', () => {
+test('never rejects a higher tier while lower-tier requests wait, for any sequence of events', () => {
   const step = fc.tuple(
     fc.integer({ min: 0, max: 2 }),
     fc.integer({ min: 1, max: 5 }),
--- a/packages/policy/src/lib/LeastLoadScheduler.test.ts
+++ b/packages/policy/src/lib/LeastLoadScheduler.test.ts
@@ -4,7 +4,7 @@
 import { createCandidates, createJob, createLoad } from '../fixtures';
 import { LeastLoadScheduler } from './LeastLoadScheduler';
 
-test('takes the highest tier first and the least reported load', () => {
+test('dispatches the highest tier first, to the endpoint with the least reported load', () => {
   const scheduler = new LeastLoadScheduler();
   scheduler.setCandidates(createCandidates(2, { slots: 1 }));
   scheduler.loadReported({ endpoint: asId('e1'), load: createLoad({ running: 2 }), at: 0 });
--- a/packages/policy/src/lib/limits/WorkspaceLimiter.test.ts
+++ b/packages/policy/src/lib/limits/WorkspaceLimiter.test.ts
@@ -38,7 +38,7 @@
   return { limiters, exchange: renewGrants };
 }
 
-test('the traffic of one entry gets nearly the whole limit', () => {
+test('a single busy entry gets nearly the whole limit', () => {
   const { limiters, exchange } = createEntries(4);
   const [busy] = limiters as [WorkspaceLimiter];
   let admitted = 0;
@@ -51,7 +51,7 @@
   assert.ok(admitted >= 0.85 * 20 * TOKENS_PER_SECOND, `${admitted}`);
 });
 
-test('a refusal says when tokens are there again', () => {
+test('a rejection reports when tokens are available again', () => {
   const { limiters } = createEntries(1);
   const [limiter] = limiters as [WorkspaceLimiter];
   limiter.admit(alpha, 3_000, 0)._unsafeUnwrap();
@@ -62,7 +62,10 @@
   assert.ok(limiter.admit(alpha, 1, retryAfterMs).isOk());
 });
 
-/** Entries with random traffic that lose touch at random; each number is one entry's second. */
+/**
+ * Runs entries with random traffic. `weights` holds the probability of a request per step for each
+ * entry; `partitioned` holds for each second whether the entries with an even index get no grants.
+ */
 function checkPartition(weights: readonly number[], partitioned: readonly boolean[]): void {
   const { limiters, exchange } = createEntries(weights.length);
   const random = new Random(weights.length);
@@ -88,7 +91,7 @@
     if (sum <= REQUESTS) excessSince = undefined;
     else excessSince ??= now;
     assert.ok(sum <= 2 * REQUESTS, `${sum} requests at ${now}`);
-    // What was admitted under older grants has to end first.
+    // Requests admitted under older grants must end first.
     assert.ok(
       now - (excessSince ?? now) <= 2 * GRANT_TERM_MS,
       `over the limit since ${excessSince}`,
@@ -99,7 +102,7 @@
   assert.ok(admitted.tokens <= allowed + overdrafts, `${admitted.tokens} tokens`);
 }
 
-test('entries together keep to the limits, also when they lose touch', () => {
+test('entries together keep to the limits, also while partitioned', () => {
   const weights = fc.array(fc.double({ min: 0, max: 1, noNaN: true }), {
     minLength: 1,
     maxLength: 6,
@@ -108,7 +111,7 @@
   fc.assert(fc.property(weights, partitioned, checkPartition), { seed: 1, numRuns: 50 });
 });
 
-test('without any contact each entry keeps to an even part', () => {
+test('each entry without new grants keeps to an even share', () => {
   const { limiters } = createEntries(3);
   const late = 10 * GRANT_TERM_MS;
   let admitted = 0;
--- a/packages/policy/src/lib/local/FairLocalQueue.test.ts
+++ b/packages/policy/src/lib/local/FairLocalQueue.test.ts
@@ -18,7 +18,7 @@
   assert.deepEqual([running, waiting, waitingTier, runningTier, credits], [1, 1, 4, 1, 0]);
 });
 
-test('preempts lower work for higher work, and resumes it', () => {
+test('preempts lower-tier work for a higher tier, and resumes it', () => {
   const queue = createQueue(1);
   const low = createAttempt({ tier: 4 });
   const high = createAttempt({ tier: 1 });
@@ -35,7 +35,7 @@
   assert.deepEqual(queue.decide(200), [{ type: 'start', attempt: low.attempt, isResumed: true }]);
 });
 
-test('a full queue refuses the lowest tier first', () => {
+test('a full queue rejects the lowest tier first', () => {
   const queue = createQueue(1, 1);
   const attempts = [1, 3, 2].map((tier) => createAttempt({ tier }));
   for (const attempt of attempts) queue.offer(attempt, 0);
@@ -46,7 +46,7 @@
   );
 });
 
-test('a withdrawn attempt that waits never runs', () => {
+test('a waiting attempt that is withdrawn never runs', () => {
   const queue = createQueue(1);
   const attempt = createAttempt();
   queue.offer(attempt, 0);
@@ -75,7 +75,7 @@
 
 const MAX_PREEMPTIONS = 3;
 
-/** Runs a random history and checks each decision against a plain list of the attempts. */
+/** Applies random events and checks each decision against plain lists of the attempts. */
 function checkHistory(steps: readonly (readonly [number, number])[]): void {
   const queue = createQueue(2, 3);
   const waiting = new Map<string, QueuedAttempt>();
@@ -121,7 +121,7 @@
   }
 }
 
-test('never refuses or preempts a higher tier for a lower one, in any history', () => {
+test('never rejects or preempts a higher tier for a lower one, for any sequence of events', () => {
   const step = fc.tuple(fc.integer({ min: 0, max: 2 }), fc.integer({ min: 1, max: 4 }));
   fc.assert(fc.property(fc.array(step, { maxLength: 80 }), checkHistory), { seed: 1 });
 });
--- a/packages/policy/src/lib/queue/FairQueue.test.ts
+++ b/packages/policy/src/lib/queue/FairQueue.test.ts
@@ -25,7 +25,7 @@
   return item;
 }
 
-test('divides the work by share, whatever the sizes and numbers of items', () => {
+test('divides the work by share for any size and number of items', () => {
   const sizes = fc.array(fc.integer({ min: 1, max: 500 }), { minLength: 3, maxLength: 3 });
   fc.assert(
     fc.property(sizes, ([a = 1, b = 1, c = 1]) => {
@@ -54,7 +54,7 @@
   );
 });
 
-test('earliest deadline first within a workspace; late ones last', () => {
+test('serves a workspace earliest deadline first, late items last', () => {
   const queue = new FairQueue<Item>();
   for (const startBy of [300, 50, 200]) queue.add(createItem('a', 1, 100, startBy));
   const order = [1, 2, 3].map(() => serve(queue, 100).startBy);
@@ -62,7 +62,7 @@
   assert.deepEqual([queue.waiting, queue.backlog], [0, 0]);
 });
 
-test('a late item is served once its workspace is too far behind', () => {
+test('serves a late item once its workspace lags too far behind', () => {
   const queue = new FairQueue<Item>();
   queue.add(createItem('late', 1, 100, 0));
   for (let i = 0; i < 100; i += 1) queue.add(createItem('flood', 1, 100, 1_000));
@@ -71,7 +71,7 @@
   assert.ok(before >= 5 && before <= 10, `${before}`);
 });
 
-test('the youngest item of the largest backlog for its share is the one to shed', () => {
+test('sheds the youngest item of the workspace with the largest backlog relative to its share', () => {
   const queue = new FairQueue<Item>();
   queue.add(createItem('large', 4, 300));
   queue.add(createItem('small', 1, 100, 1));
--- a/packages/policy/src/lib/queue/MinimumShare.test.ts
+++ b/packages/policy/src/lib/queue/MinimumShare.test.ts
@@ -21,7 +21,7 @@
   assert.equal(shares.isDue('letter', 100, 3), false);
 });
 
-test('a class saves up no more than a few requests, and nothing without demand', () => {
+test('a class accumulates at most a few requests, and nothing without demand', () => {
   const shares = createShares(0.1);
   shares.served('chat', 1_000_000, 1, true);
   for (let i = 0; i < 4; i += 1) shares.served('letter', 100, 2, true);
@@ -30,7 +30,7 @@
   assert.equal(shares.isDue('letter', 100, 3), false);
 });
 
-test('a class without any service is due after a quarter of its longest wait', () => {
+test('a class without any service is due after a quarter of its maximum wait', () => {
   for (const minimumShare of [0, 0.01]) {
     const shares = createShares(minimumShare);
     assert.equal(shares.dueAt('letter'), 10_000);
