--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -158,7 +158,7 @@
     const { timer, settings } = this.#options;
     this.#isStopping = true;
     this.#noteReadiness();
-    this.#registry?.handOver().catch((error: unknown) => {
+    this.#registry?.transferLeadership().catch((error: unknown) => {
       this.#options.journal.record(gatewayEvents.handOverFailed, { error: String(error) });
     });
     const startedAt = timer.now();
--- a/packages/link/src/index.ts
+++ b/packages/link/src/index.ts
@@ -1,4 +1,4 @@
-/** Kept connections between the processes of the system: WebSocket with msgpack messages. */
+/** Persistent connections between the processes of the system: msgpack messages over WebSocket. */
 export { linkCodes } from './lib/codes';
 export { linkEvents } from './lib/events';
 export { Link, type CallHandler } from './lib/Link';
--- a/packages/link/src/lib/Dialer.ts
+++ b/packages/link/src/lib/Dialer.ts
@@ -7,10 +7,10 @@
 export interface DialerOptions<In> extends LinkOptions<In> {
   /** Addresses tried in turn. */
   readonly addresses: readonly string[];
-  /** Path that names the kind of link. */
+  /** URL path, which identifies the kind of link. */
   readonly path: string;
   readonly identity?: LinkIdentity;
-  /** Longest time for a connection to be made, in milliseconds; 2000 by default. */
+  /** Time-out for establishing a connection, in milliseconds; 2000 by default. */
   readonly connectTimeoutMs?: number;
   readonly random?: Random;
 }
@@ -19,9 +19,9 @@
 const MIN_BACKOFF_MS = 20;
 const MAX_BACKOFF_MS = 1000;
 
-/** Keeps one link open: connects again, with backoff and jitter, whenever it closes. @public */
+/** Keeps one link open: reconnects with backoff and jitter whenever it closes. @public */
 export class Dialer<Out, In> implements Disposable {
-  /** Called with each new link, before any message of it is handled. */
+  /** Called with each new link, before any of its messages is handled. */
   onLink: (link: Link<Out, In>) => void = () => {};
 
   readonly #options: DialerOptions<In>;
@@ -53,12 +53,12 @@
     return this.#link;
   }
 
-  /** Begins to connect. */
+  /** Starts connecting. */
   open(): void {
     this.#connect();
   }
 
-  /** Drops the present link and tries this address first. */
+  /** Drops the current link and dials this address next. */
   redirect(address: string): void {
     if (!this.#addresses.includes(address)) this.#addresses = [...this.#addresses, address];
     this.#nextAddressIndex = this.#addresses.indexOf(address);
@@ -86,8 +86,8 @@
         cert: identity.certificate,
         key: identity.key,
         ca: identity.authority,
-        // Peers are known by the authority that signed them, as addresses are bare IP numbers. A
-        // falsy answer means no error.
+        // Peers are authenticated by the authority that signed their certificates, as addresses are
+        // plain IP addresses. A falsy return value means no error.
         checkServerIdentity: () => false,
       }),
     });
@@ -118,7 +118,7 @@
   #scheduleReconnect(socket: WebSocket): void {
     if (this.#socket !== socket || this.#disposed) return;
     this.#socket = undefined;
-    // Errors that follow a failed handshake are of no more interest.
+    // Ignores further errors of a failed handshake; without a listener they would be thrown.
     socket.on('error', () => {});
     const delayMs = this.#backoffMs * this.#random.between(0.5, 1.5);
     this.#backoffMs = Math.min(this.#backoffMs * 2, MAX_BACKOFF_MS);
--- a/packages/link/src/lib/Link.test.ts
+++ b/packages/link/src/lib/Link.test.ts
@@ -78,7 +78,7 @@
   return { address: `127.0.0.1:${(relay.address() as AddressInfo).port}`, pause };
 }
 
-test('delivers messages in order and answers calls', async (t) => {
+test('delivers messages in order and replies to calls', async (t) => {
   const { link } = await createPair(t);
   const received: string[] = [];
   link.onMessage = (message) => received.push(message);
@@ -92,7 +92,7 @@
 });
 
 test(
-  'gathers ordinary messages, but not the first and urgent ones',
+  'batches ordinary messages, but not the first and urgent ones',
   { timeout: 5000 },
   async (t) => {
     const options = { batchIntervalMs: 60_000, keepAliveMs: 20_000, silenceTimeoutMs: 60_000 };
--- a/packages/link/src/lib/Link.ts
+++ b/packages/link/src/lib/Link.ts
@@ -10,7 +10,7 @@
   type LinkOptions,
 } from './LinkOptions';
 
-/** What an envelope carries. */
+/** Kind of an envelope; the number of the member is sent in the frame. */
 enum EnvelopeKind {
   Message,
   Call,
@@ -18,10 +18,10 @@
   ErrorReply,
 }
 
-/** Kind, number of the call or 0, and the payload. */
+/** Kind, id of the call (0 for a message), and payload. */
 type Envelope = [EnvelopeKind, number, unknown];
 
-/** One frame: stamp of the sender's hybrid clock, and the envelopes gathered. */
+/** One frame: wall time and counter of the sender's hybrid clock, and a batch of envelopes. */
 type Frame = [number, number, Envelope[]];
 
 interface PendingCall {
@@ -29,7 +29,7 @@
   readonly timeout: Disposable;
 }
 
-/** Handles a call of the other end. @public */
+/** Handles a call from the peer. @public */
 export type CallHandler<In> = (message: In) => Promise<Result<unknown, Failure>>;
 
 const DEFAULT_CALL_TIMEOUT_MS = 5000;
@@ -43,18 +43,18 @@
 }
 
 /**
- * One open connection between two processes. Messages keep their order; those sent within one
- * gathering interval share a frame. A connection that falls silent is dropped.
+ * One open connection between two processes. Messages are delivered in order, and those sent within
+ * one batch interval share a frame. A connection that receives nothing for too long is dropped.
  * @public
  */
 export class Link<Out, In> implements Disposable {
-  /** Called with each message of the other end. */
+  /** Called with each message from the peer. */
   onMessage: (message: In) => void = () => {};
 
-  /** Called with each call of the other end. */
-  onCall: CallHandler<In> = async () => fail(linkCodes.callFailed, 'calls are not served here');
+  /** Called with each call from the peer. */
+  onCall: CallHandler<In> = async () => fail(linkCodes.callFailed, 'calls are not handled here');
 
-  /** Called once when the connection has closed, for whatever reason. */
+  /** Called once when the connection has closed, for any reason. */
   onClose: () => void = () => {};
 
   readonly peer: string;
@@ -79,7 +79,7 @@
 
   #lastSent: number;
 
-  /** Time of the last frame with messages. */
+  /** Time of the last frame that contained envelopes. */
   #lastFlush = -Infinity;
 
   #closed = false;
@@ -102,27 +102,30 @@
     return this.#closed;
   }
 
-  /** Bytes handed to the connection that the kernel has not taken yet. */
+  /** Bytes queued for sending that were not yet passed to the kernel. */
   get bufferedBytes(): number {
     return this.#socket.bufferedAmount;
   }
 
   /**
-   * Sends a message; it is lost when the connection closes before it has arrived. An urgent one does
-   * not wait to be gathered with others.
+   * Sends a message; it is lost if the connection closes before it arrives. An urgent message is
+   * not delayed by batching.
    */
   send(message: Out, isUrgent = false): void {
     this.#enqueue([EnvelopeKind.Message, 0, message], isUrgent);
   }
 
-  /** Sends a message and waits for its answer. */
+  /**
+   * Sends a message and waits for the reply. Fails with `linkLost` if the link closes or no reply
+   * arrives in time, and with `callFailed` if the peer's handler fails.
+   */
   call<Reply>(message: Out, timeoutMs = DEFAULT_CALL_TIMEOUT_MS): Promise<Result<Reply, Failure>> {
     if (this.#closed) return Promise.resolve(fail(linkCodes.linkLost, 'the link is closed'));
     const callId = this.#nextCallId;
     this.#nextCallId += 1;
     return new Promise((resolve) => {
       const timeout = this.#options.timer.after(timeoutMs, () => {
-        this.#settle(callId, fail(linkCodes.linkLost, `no answer within ${timeoutMs} ms`));
+        this.#settle(callId, fail(linkCodes.linkLost, `no reply within ${timeoutMs} ms`));
       });
       const settle = resolve as PendingCall['settle'];
       this.#pendingCalls.set(callId, { settle, timeout });
@@ -130,7 +133,7 @@
     });
   }
 
-  /** Sends what is gathered at once. */
+  /** Sends the current batch immediately. */
   flush(): void {
     this.#nextFlush?.[Symbol.dispose]();
     this.#nextFlush = undefined;
@@ -142,7 +145,7 @@
     this.#write(envelopes);
   }
 
-  /** Drops the connection and what the kernel still holds for it. */
+  /** Drops the connection and the data that the kernel has not sent yet. */
   [Symbol.dispose](): void {
     this.#socket.terminate();
     this.#close();
@@ -163,7 +166,7 @@
     this.#nextFlush = { [Symbol.dispose]: () => clearImmediate(handle) };
   }
 
-  /** Time until the next frame may go: the first one after a quiet time goes at once. */
+  /** Time until the next frame may be sent; not positive for the first one after an idle period. */
   #batchDelayMs(): number {
     const { batchIntervalMs = 0, timer } = this.#options;
     return this.#lastFlush + batchIntervalMs - timer.now();
--- a/packages/link/src/lib/LinkOptions.ts
+++ b/packages/link/src/lib/LinkOptions.ts
@@ -5,20 +5,20 @@
 export interface LinkOptions<In> {
   readonly timer: Timer;
   readonly journal: Journal;
-  /** Validates each message that arrives. */
+  /** Validates each received message. */
   readonly schema: z.ZodType<In>;
-  /** Interval of keep-alive messages, in milliseconds; 1000 by default. */
+  /** Interval of keep-alive frames, in milliseconds; 1000 by default. */
   readonly keepAliveMs?: number;
-  /** Silence after which the connection is dropped, in milliseconds; 3000 by default. */
+  /** Time without received frames after which the link is dropped, in ms; 3000 by default. */
   readonly silenceTimeoutMs?: number;
   /**
-   * Least time between two frames, in milliseconds: messages meanwhile share a frame. By default
-   * only those of one tick do.
+   * Minimum time between two frames, in milliseconds; messages sent in between share a frame. By
+   * default only messages of the same event-loop tick do.
    */
   readonly batchIntervalMs?: number;
 }
 
-/** Files of a mutual TLS identity. @public */
+/** Contents of the files for mutual TLS. @public */
 export interface LinkIdentity {
   readonly certificate: Buffer;
   readonly key: Buffer;
@@ -28,5 +28,5 @@
 export const DEFAULT_KEEP_ALIVE_INTERVAL_MS = 1000;
 export const DEFAULT_SILENCE_TIMEOUT_MS = 3000;
 
-/** Largest frame accepted from the other end: a snapshot of the configuration fits well. */
+/** Largest frame accepted from the peer; far larger than a snapshot of the configuration. */
 export const MAX_FRAME_BYTES = 64 * 1024 * 1024;
--- a/packages/link/src/lib/LinkServer.ts
+++ b/packages/link/src/lib/LinkServer.ts
@@ -9,7 +9,7 @@
 
 type SocketHandler = (socket: import('ws').WebSocket, peer: string) => void;
 
-/** Accepts links of several kinds on one port; the path of the URL names the kind. @public */
+/** Accepts links of several kinds on one port; the URL path identifies the kind. @public */
 export class LinkServer {
   readonly #server: Server;
 
@@ -32,7 +32,7 @@
     });
   }
 
-  /** Serves links on a path such as `/entry`; call before `listen`. */
+  /** Accepts links on a path such as `/entry`; call before `listen`. */
   accept<Out, In>(
     path: string,
     options: LinkOptions<In>,
@@ -41,7 +41,7 @@
     this.#handlers.set(path, (socket, peer) => onLink(new Link<Out, In>(socket, peer, options)));
   }
 
-  /** Listens on `IP:PORT` and resolves to the address in use. */
+  /** Listens on `IP:PORT` and resolves to the bound address. */
   listen(address: string): Promise<string> {
     return listenOn(this.#server, address);
   }
--- a/packages/link/src/lib/closeNow.ts
+++ b/packages/link/src/lib/closeNow.ts
@@ -1,6 +1,6 @@
 import type { Server } from 'node:http';
 
-/** Stops a server and drops its open connections; resolves when it has closed. @public */
+/** Closes a server and drops its open connections; resolves once it has closed. @public */
 export async function closeNow(server: Server): Promise<void> {
   server.closeAllConnections();
   await new Promise((resolve) => {
--- a/packages/link/src/lib/codes.ts
+++ b/packages/link/src/lib/codes.ts
@@ -6,14 +6,14 @@
     number: 1100,
     status: 503,
     notRun: 'unknown',
-    meaning: 'The connection to another process closed before the answer came.',
-    remedy: 'The process connects again by itself; look for a partition if it lasts.',
+    meaning: 'The connection to another process closed, or no reply arrived in time.',
+    remedy: 'The process reconnects by itself; check for a network partition if it persists.',
   },
   callFailed: {
     number: 1101,
     status: 500,
     notRun: 'unknown',
-    meaning: 'The other process could not answer a call.',
-    remedy: 'Look at the log of the other process.',
+    meaning: 'The other process failed to handle a call.',
+    remedy: 'Check the log of the other process.',
   },
 });
--- a/packages/link/src/lib/events.ts
+++ b/packages/link/src/lib/events.ts
@@ -12,13 +12,13 @@
     number: 1101,
     level: 'info',
     meaning: 'A connection to another process has closed.',
-    action: 'none; look for a partition if it recurs.',
+    action: 'None; check for a network partition if it recurs.',
   },
   linkSilent: {
     number: 1102,
     level: 'warn',
-    meaning: 'A connection was silent for too long and was dropped.',
-    action: 'Look for a partition or a frozen process.',
+    meaning: 'A connection received nothing within its silence time-out and was dropped.',
+    action: 'Check for a network partition or a frozen process.',
   },
   messageInvalid: {
     number: 1103,
--- a/packages/link/src/lib/listenOn.ts
+++ b/packages/link/src/lib/listenOn.ts
@@ -2,8 +2,8 @@
 import { splitAddress } from './address';
 
 /**
- * Lets a server listen on `IP:PORT` and resolves to the address in use; rejects with the error of
- * the socket, such as EADDRINUSE.
+ * Starts listening on `IP:PORT` and resolves to the bound address; rejects with the socket error,
+ * such as EADDRINUSE.
  * @public
  */
 export async function listenOn(server: Server, address: string): Promise<string> {
--- a/packages/registry/src/index.ts
+++ b/packages/registry/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The replicated part of a fleet of gateways: the newest routing configuration, closed usage
- * windows, and the mesh over which instances learn of both.
+ * Replicated state of a fleet of gateways (the newest routing configuration and the closed usage
+ * windows) and the mesh that distributes it to all instances.
  */
 export { PeerTransport, type PeerTransportOptions } from './lib/PeerTransport';
 export {
--- a/packages/registry/src/lib/AddressBook.test.ts
+++ b/packages/registry/src/lib/AddressBook.test.ts
@@ -3,7 +3,7 @@
 import { VirtualTimer } from '@berylwood/base';
 import { AddressBook } from './AddressBook';
 
-test('an instance whose seeds hold no replica learns of replicas from those that dial it', () => {
+test('an instance with seeds that run no replica gets addresses from peers that dial it', () => {
   const timer = new VirtualTimer();
   const seeds = () => ['10.0.0.8:1', '10.0.0.9:1'];
   const book = new AddressBook({ address: '10.0.0.9:1', seeds, registry: undefined, timer });
@@ -13,7 +13,7 @@
   assert.deepEqual(book.members, ['10.0.0.1:1']);
 });
 
-test('what the own replica knows goes before what others tell', () => {
+test('members of the own replica take precedence over received addresses', () => {
   const timer = new VirtualTimer();
   const registry = { members: ['10.0.0.1:1'] };
   const book = new AddressBook({ address: '10.0.0.1:1', seeds: () => [], registry, timer });
--- a/packages/registry/src/lib/AddressBook.ts
+++ b/packages/registry/src/lib/AddressBook.ts
@@ -1,11 +1,11 @@
 import type { Timer } from '@berylwood/base';
 import type { Registry } from './Registry';
 
-/** Time for which an address counts that others have told, in milliseconds. */
+/** Time after which an address received from another instance expires, in milliseconds. */
 const RECEIVED_ADDRESS_TTL_MS = 10_000;
 
 interface AddressBookOptions {
-  /** Address of this instance between instances. */
+  /** Address at which other instances reach this one. */
   readonly address: string;
   readonly seeds: () => readonly string[];
   readonly registry: Pick<Registry, 'members'> | undefined;
@@ -13,8 +13,8 @@
 }
 
 /**
- * Where replicas are: the seeds, which may be out of date or without a replica, what the own replica
- * knows, and what other instances have told lately.
+ * Known addresses of replicas: the seeds, which may be out of date or run no replica, the members
+ * known to this instance's replica, and addresses recently received from other instances.
  * @internal
  */
 export class AddressBook {
@@ -26,7 +26,10 @@
     this.#options = options;
   }
 
-  /** Addresses of replicas, to tell others: from the own replica, or else as told lately. */
+  /**
+   * Replica addresses to send to other instances: the members known to this instance's replica, or
+   * else the recently received addresses.
+   */
   get members(): string[] {
     const ownMembers = this.#options.registry?.members ?? [];
     return ownMembers.length > 0 ? ownMembers : this.#recentMembers;
--- a/packages/registry/src/lib/ConfigurationCache.ts
+++ b/packages/registry/src/lib/ConfigurationCache.ts
@@ -14,9 +14,9 @@
 const digest = (bytes: Uint8Array): Buffer => createHash('sha256').update(bytes).digest();
 
 /**
- * The committed configuration that was last in force here, in a file of its own. After a restart it
- * serves requests while the replicas elect a leader. A file that is damaged fails its digest and
- * counts as missing.
+ * Stores the committed configuration that was last applied on this instance in a file of its own.
+ * After a restart it is used to serve requests while the replicas elect a leader. A damaged file
+ * fails its digest and is treated as missing.
  * @internal
  */
 export class ConfigurationCache {
@@ -49,7 +49,10 @@
     }
   }
 
-  /** Writes without holding anyone up; of several configurations the latest is written. */
+  /**
+   * Writes in the background. Of the configurations that arrive during a write, only the latest is
+   * written.
+   */
   write(configuration: StoredConfiguration): void {
     this.#pending = configuration;
     if (!this.#isWriting) this.#writePending();
--- a/packages/registry/src/lib/ConfigurationFetcher.ts
+++ b/packages/registry/src/lib/ConfigurationFetcher.ts
@@ -4,10 +4,13 @@
 import type { AcceptorMessage, DialerMessage } from './MeshMessage';
 import type { StoredConfiguration } from './RegistryMachine';
 
-/** Callers of the operator's interface give up after a second. @internal */
+/** Below the time-out of operators' clients, which is one second. @internal */
 export const CALL_TIMEOUT_MS = 900;
 
-/** Fetches a newer configuration from an instance that has announced it, one at a time. @internal */
+/**
+ * Fetches a newer configuration from an instance that has announced it; one fetch runs at a time.
+ * @internal
+ */
 export class ConfigurationFetcher {
   readonly #journal: Journal;
 
@@ -30,7 +33,7 @@
       this.#onFetched({ version: version as number, body });
       return;
     }
-    const error = reply.isErr() ? reply.error.message : 'the other end holds none';
+    const error = reply.isErr() ? reply.error.message : 'the peer has no configuration';
     this.#journal.record(registryEvents.fetchFailed, { peer: link.peer, error });
   }
 }
--- a/packages/registry/src/lib/FleetClock.test.ts
+++ b/packages/registry/src/lib/FleetClock.test.ts
@@ -3,7 +3,7 @@
 import { VirtualTimer } from '@berylwood/base';
 import { FleetClock } from './FleetClock';
 
-test('a leader whose clock jumps goes on with the time of the others', () => {
+test('a leader whose clock jumps follows the median of the other instances', () => {
   const timer = new VirtualTimer();
   const clock = new FleetClock(timer);
   const wallMs = timer.wall();
@@ -12,7 +12,7 @@
   assert.equal(Math.round(clock.now() - wallMs), -4000);
 });
 
-test('one reading that is far off changes nothing', () => {
+test('a single outlier does not change the time', () => {
   const timer = new VirtualTimer();
   const clock = new FleetClock(timer);
   const wallMs = timer.wall();
--- a/packages/registry/src/lib/FleetClock.ts
+++ b/packages/registry/src/lib/FleetClock.ts
@@ -1,6 +1,6 @@
 import type { Timer } from '@berylwood/base';
 
-/** Samples of instances that are older than this are left out, in milliseconds. */
+/** Samples older than this are discarded, in milliseconds. */
 const MAX_SAMPLE_AGE_MS = 3000;
 
 interface Sample {
@@ -16,9 +16,9 @@
 }
 
 /**
- * The time of day that most instances agree on. The clocks of a few may jump by seconds, so the
- * leader takes the median over all of them and the others follow the leader. Between two readings
- * the monotonic clock is used.
+ * Wall-clock time on which most instances agree. The clocks of a few instances may jump by seconds,
+ * so the leader takes the median of all clocks and the other instances follow the leader. Between
+ * two readings, time advances with the monotonic clock.
  * @public
  */
 export class FleetClock {
@@ -38,18 +38,18 @@
     return this.#timer.now() + this.#offsetMs;
   }
 
-  /** Takes over the leader's reading. */
+  /** Sets the clock to the leader's time, in milliseconds since the Unix epoch. */
   syncToLeader(leaderMs: number): void {
     this.#offsetMs = leaderMs - this.#timer.now();
   }
 
-  /** Notes the time of day of an instance, as the leader receives it. */
+  /** On the leader: records the wall-clock time received from an instance. */
   observe(instance: string, wallMs: number): void {
     const at = this.#timer.now();
     this.#samples.set(instance, { offsetMs: wallMs - at, at });
   }
 
-  /** As the leader: settles on the median of all recent readings and this machine's own. */
+  /** On the leader: sets the clock to the median of all recent samples and the local clock. */
   applyMedian(): void {
     const now = this.#timer.now();
     for (const [instance, { at }] of this.#samples) {
--- a/packages/registry/src/lib/InFlightWork.test.ts
+++ b/packages/registry/src/lib/InFlightWork.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { InFlightWork } from './InFlightWork';
 
-test('each source is told the sum of all others, by endpoint and rank', () => {
+test('each source gets the sum of all others, by endpoint and rank', () => {
   const inFlight = new InFlightWork<string>();
   inFlight.set('a', [['e-1', [5, 0, 100], 2]]);
   inFlight.set('b', [['e-1', [1], 1]]);
--- a/packages/registry/src/lib/InFlightWork.ts
+++ b/packages/registry/src/lib/InFlightWork.ts
@@ -1,8 +1,8 @@
 import type { EndpointWork } from './MeshMessage';
 
 /**
- * Work on its way to endpoints, by the instance that has handed it over. Each instance is told the
- * sum of all others, since it knows its own work better.
+ * Work in flight to endpoints, by the instance that has sent it. Each instance receives the sum
+ * over all other instances, as its own figures are more current.
  * @internal
  */
 export class InFlightWork<Source> {
@@ -16,7 +16,7 @@
     this.#sources.delete(source);
   }
 
-  /** The work of all sources but one. */
+  /** Sum of the work of all sources except one. */
   sumExcluding(source: Source): EndpointWork[] {
     const sums = new Map<string, { tokens: number[]; requests: number }>();
     for (const [other, endpoints] of this.#sources) {
--- a/packages/registry/src/lib/Mesh.ts
+++ b/packages/registry/src/lib/Mesh.ts
@@ -23,13 +23,13 @@
 
 /** Options of the mesh of one instance. @public */
 export interface MeshOptions {
-  /** Address of this instance between instances, `IP:PORT`. */
+  /** Address at which other instances reach this one, `IP:PORT`. */
   readonly address: string;
-  /** Instance and incarnation, under which its usage is counted. */
+  /** Source of this instance's usage counts: the instance and its incarnation. */
   readonly source: string;
-  /** Addresses to begin with; they may be out of date. */
+  /** Initial addresses to dial; they may be out of date. */
   readonly seeds: () => readonly string[];
-  /** The replica of this instance, if it has a disk. */
+  /** Replica of this instance; undefined on an instance without a disk. */
   readonly registry: Registry | undefined;
   readonly clock: FleetClock;
   readonly usage: UsageLedger;
@@ -37,25 +37,25 @@
   readonly journal: Journal;
 }
 
-/** Interval of statuses and reports: a few hundred bytes each. */
+/** Interval of status messages and reports, which have a few hundred bytes each. */
 const STATUS_INTERVAL_MS = 400;
 
-/** Windows kept while no leader closes them: ten minutes of windows of five seconds. */
+/** Windows kept while no leader closes them: ten minutes of five-second windows. */
 const MAX_OPEN_WINDOWS = 120;
 
 /**
- * Links between all instances: each dials the seeds and the replicas of the registry, learns of
- * newer configurations and of the leader, and reports its usage.
+ * Links between all instances. Each instance dials the seeds and the replicas of the registry,
+ * receives newer configurations and the address of the leader, and reports its usage to the leader.
  * @public
  */
 export class Mesh implements Disposable {
   /** Called with each newer configuration. */
   onConfiguration: (configuration: StoredConfiguration) => void = () => {};
 
-  /** Called with the work that all other instances have handed to endpoints. */
+  /** Called with the total work in flight from all other instances. */
   onWork: (endpoints: readonly EndpointWork[]) => void = () => {};
 
-  /** Called with what the leader has read for all instances; the receiver checks its form. */
+  /** Called with each value that the leader broadcasts; the receiver validates it. */
   onNotice: (value: unknown) => void = () => {};
 
   readonly #options: MeshOptions;
@@ -66,7 +66,7 @@
 
   readonly #peers: Peers;
 
-  /** Links of instances that have dialled this one, with their addresses once known. */
+  /** Accepted links with the address of the instance, which is empty until its first report. */
   readonly #incoming = new Map<Link<AcceptorMessage, DialerMessage>, string>();
 
   #configuration: StoredConfiguration | undefined;
@@ -95,12 +95,12 @@
     this.#store.add(timer.every(STATUS_INTERVAL_MS, () => this.#tick()));
   }
 
-  /** Instances of the fleet as the leader has last counted them; 0 before it has. */
+  /** Number of instances as last counted by the leader; 0 before the first count. */
   get instanceCount(): number {
     return this.#instanceCount;
   }
 
-  /** Serves the links of other instances on the server's port; call before it listens. */
+  /** Accepts links of other instances on the server's port; call before it listens. */
   serve(server: LinkServer): void {
     const { timer, journal } = this.#options;
     const timeouts = { keepAliveMs: KEEP_ALIVE_INTERVAL_MS, silenceTimeoutMs: SILENCE_TIMEOUT_MS };
@@ -111,7 +111,7 @@
     );
   }
 
-  /** Begins to dial; until a newer configuration comes, the one that was last in force holds. */
+  /** Starts dialing. The cached configuration applies until a newer one arrives. */
   async open(): Promise<void> {
     this.#peers.setTargets(this.#addressBook.dialTargets);
     const cached = await this.#options.registry?.readCachedConfiguration();
@@ -134,8 +134,8 @@
   }
 
   /**
-   * Whether every instance has reported to this leader since a fleet time, as far as it knows them:
-   * those that have reported before, and the replicas, which may be cut off.
+   * Whether all known instances have reported to this leader since `sinceMs`, in fleet time. Known
+   * are the instances that have reported before and the replicas, which may be partitioned.
    */
   haveAllReported(sinceMs: number): boolean {
     const { address, registry } = this.#options;
@@ -143,7 +143,10 @@
     return this.#reportTimes.haveAllReported(otherReplicas, sinceMs);
   }
 
-  /** Tells the work that this instance has handed over; the leader tells all others the sums. */
+  /**
+   * Sends the work in flight from this instance to the leader. The leader sends each instance the
+   * sum over all other instances.
+   */
   publishWork(endpoints: readonly EndpointWork[]): void {
     if (!this.isLeader) {
       this.#peers.leader?.dialer.link?.send({ type: 'work', endpoints });
@@ -157,12 +160,12 @@
     }
   }
 
-  /** Whether this instance leads, and so reads for all others. */
+  /** Whether this instance leads the registry, and so reads shared data for all instances. */
   get isLeader(): boolean {
     return this.#options.registry?.isLeader ?? false;
   }
 
-  /** As the leader, tells all others what it has read. */
+  /** Broadcasts a value to all connected instances; does nothing unless this instance leads. */
   broadcastNotice(value: unknown): void {
     if (!this.isLeader) return;
     for (const link of this.#incoming.keys()) link.send({ type: 'notice', value });
@@ -310,7 +313,7 @@
     else this.onNotice(message.value);
   }
 
-  /** Dials at once what it learns of: an instance that has just started knows little else. */
+  /** Dials new addresses immediately, as an instance that has just started knows few others. */
   #addMembers(members: readonly string[]): void {
     this.#addressBook.addMembers(members);
     this.#peers.setTargets(this.#addressBook.dialTargets);
--- a/packages/registry/src/lib/MeshMessage.ts
+++ b/packages/registry/src/lib/MeshMessage.ts
@@ -1,20 +1,20 @@
 import { z } from 'zod';
 import type { WindowCounts } from './UsageLedger';
 
-/** What an instance tells the leader regularly. @internal */
+/** Periodic report of an instance to the leader. @internal */
 export interface Report {
   readonly type: 'report';
-  /** Address of the instance between instances. */
+  /** Address at which other instances reach the reporting one. */
   readonly instance: string;
   /** Source of the counts: the instance and its incarnation. */
   readonly source: string;
-  /** Time of day of the instance, in milliseconds. */
+  /** Wall-clock time of the instance, in milliseconds. */
   readonly wallMs: number;
   /** Cumulative counts of windows that are not closed. */
   readonly windows: readonly (readonly [number, WindowCounts])[];
 }
 
-/** Asks for the configuration that the other end holds. @internal */
+/** Asks for the receiver's configuration. @internal */
 interface Fetch {
   readonly type: 'fetch';
 }
@@ -31,47 +31,51 @@
   readonly type: 'readNewest';
 }
 
-/** Work that is on its way to one endpoint: its id, tokens to be read by rank, and requests. @public */
+/**
+ * Work in flight to one endpoint: the endpoint's id, the prompt tokens not processed yet, by rank,
+ * and the number of requests.
+ * @public
+ */
 export type EndpointWork = readonly [endpoint: string, tokens: readonly number[], requests: number];
 
-/** Work that an instance has handed to endpoints; from the leader, that of all other instances. */
+/** Work in flight from the sending instance; from the leader, that of all other instances. */
 interface Work {
   readonly type: 'work';
   readonly endpoints: readonly EndpointWork[];
 }
 
-/** Tells an instance that was dialled where replicas are; it may know none itself. */
+/** Sends known replica addresses to the dialled instance, which may know none. */
 interface Hello {
   readonly type: 'hello';
   readonly members: readonly string[];
 }
 
-/** @internal */
+/** Message of the instance that has dialled the link. @internal */
 export type DialerMessage = Hello | Report | Fetch | Configure | ReadNewest | Work;
 
-/** Something that the leader has read for all instances; opaque to the mesh. */
+/** Value that the leader broadcasts to all instances; opaque to the mesh. */
 interface Notice {
   readonly type: 'notice';
   readonly value: unknown;
 }
 
-/** @internal */
+/** Message of the instance that has accepted the link. @internal */
 export type AcceptorMessage = Status | Work | Notice;
 
-/** What an instance tells those that have dialled it. @internal */
+/** Status that an instance sends to all instances that have dialled it. @internal */
 export interface Status {
   readonly type: 'status';
-  /** Version of the configuration held; -1 without one. */
+  /** Version of the sender's configuration; -1 without one. */
   readonly version: number;
   readonly isLeader: boolean;
   readonly term: number;
-  /** Addresses of the registry's replicas as known. */
+  /** Known addresses of the registry's replicas. */
   readonly members: readonly string[];
-  /** Instances that the leader sees; 0 from others. */
+  /** Number of instances counted by the leader, including itself; 0 from other instances. */
   readonly instances: number;
   /** Latest closed usage window; -1 without one. */
   readonly closedWindow: number;
-  /** The leader's time of day, in milliseconds; 0 from others. */
+  /** Fleet time of the leader, in milliseconds since the Unix epoch; 0 from other instances. */
   readonly timeMs: number;
 }
 
@@ -122,7 +126,7 @@
     default:
       return value.type === 'fetch' || value.type === 'readNewest';
   }
-}, 'expected a message of an instance');
+}, 'expected a message from an instance');
 
 /** @internal */
 export const acceptorMessageSchema = z.custom<AcceptorMessage>((value) => {
@@ -137,4 +141,4 @@
     Number.isFinite(timeMs) &&
     isStringArray(members)
   );
-}, 'expected a status, work or a notice');
+}, 'expected a status, work or notice message');
--- a/packages/registry/src/lib/PeerTransport.ts
+++ b/packages/registry/src/lib/PeerTransport.ts
@@ -8,23 +8,29 @@
   readonly timer: Timer;
   readonly journal: Journal;
   readonly identity?: LinkIdentity;
-  /** Where a replica is reached, given the address in the membership, which may be empty. */
+  /**
+   * Returns the address of a replica, given its address in the membership, which may be empty.
+   * Messages are dropped while the result is empty.
+   */
   readonly resolveAddress: (replica: ReplicaName, address: string) => string;
 }
 
 const PATH = '/peer';
 
-/** Bytes that may wait for a replica that does not read; further messages are dropped. */
+/** Bytes buffered for a replica that does not read; further messages are dropped. */
 const MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
-/** Silence after which a connection is replaced, so that an election does not wait for it. */
+/** Short enough that an election does not wait for a silent connection to be replaced. */
 const KEEP_ALIVE_INTERVAL_MS = 300;
 const SILENCE_TIMEOUT_MS = 1200;
 
-/** A machine without power answers nothing; it is tried again while it may be starting. */
+/** A machine without power does not reply; it is dialled again, as it may be starting. */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** The border check: the log itself copes with stale and unexpected messages of this shape. */
+/**
+ * Checks only the shape of received messages; the replicated log handles stale and unexpected
+ * messages of this shape.
+ */
 const messageSchema = z.custom<Message>((value) => {
   const { from, to, term, body } = (value ?? {}) as Partial<Message>;
   return (
@@ -40,7 +46,7 @@
   readonly dialer: Dialer<Message, Message>;
 }
 
-/** Carries the messages of the replicated log over kept links. @public */
+/** Carries the messages of the replicated log over persistent links. @public */
 export class PeerTransport extends Transport implements Disposable {
   readonly #options: PeerTransportOptions;
 
@@ -53,7 +59,7 @@
     this.#options = options;
   }
 
-  /** Takes messages of other replicas on the server's port; call before it listens. */
+  /** Accepts messages of other replicas on the server's port; call before it listens. */
   serve(server: LinkServer): void {
     server.accept<Message, Message>(PATH, this.#linkOptions, (link) => this.#receive(link));
   }
--- a/packages/registry/src/lib/Peers.ts
+++ b/packages/registry/src/lib/Peers.ts
@@ -7,13 +7,16 @@
   type DialerMessage,
 } from './MeshMessage';
 
-/** A silent link is replaced well within the time that a configuration may take to arrive. @internal */
+/**
+ * Short enough to replace a silent link well within the time allowed for a configuration to arrive.
+ * @internal
+ */
 export const KEEP_ALIVE_INTERVAL_MS = 400;
 
 /** @internal */
 export const SILENCE_TIMEOUT_MS = 1200;
 
-/** A machine without power answers nothing; it is tried again while it may be starting. */
+/** A machine without power does not reply; it is dialled again, as it may be starting. */
 const CONNECT_TIMEOUT_MS = 500;
 
 /** Path of the links between instances. @internal */
@@ -26,7 +29,7 @@
   status: Status | undefined;
 }
 
-/** The instances that this one dials, and which of them leads the registry. @internal */
+/** The instances that this one dials, and the leader of the registry among them. @internal */
 export class Peers implements Disposable {
   readonly #timer: Timer;
 
@@ -46,7 +49,7 @@
     this.#onLink = onLink;
   }
 
-  /** The connected instance that says it leads in the highest term. */
+  /** The connected instance that claims leadership in the highest term. */
   get leader(): Peer | undefined {
     let leader: Peer | undefined;
     for (const peer of this.#peers.values()) {
@@ -61,7 +64,7 @@
     return [...this.#peers.values()].flatMap(({ dialer }) => dialer.link ?? []);
   }
 
-  /** Dials addresses that are new, and gives up those that are not wanted and don't answer. */
+  /** Dials new addresses, and stops dialing those that are neither in `targets` nor connected. */
   setTargets(targets: ReadonlySet<string>): void {
     for (const address of targets) if (!this.#peers.has(address)) this.#add(address);
     for (const [address, { dialer }] of this.#peers) {
--- a/packages/registry/src/lib/Registry.ts
+++ b/packages/registry/src/lib/Registry.ts
@@ -22,59 +22,59 @@
   type StoredConfiguration,
 } from './RegistryMachine';
 
-/** Options of the replica of one instance. @public */
+/** Options of the registry replica of one instance. @public */
 export interface RegistryOptions {
-  /** Address of this instance between instances, `IP:PORT`; it also names the replica. */
+  /** Address at which other instances reach this one, `IP:PORT`; it also names the replica. */
   readonly address: string;
-  /** Folder of the log and the snapshots; its parent exists. */
+  /** Directory of the log, the snapshots and the configuration cache; created if missing. */
   readonly directory: string;
-  /** Replicas that found the first group; empty when one exists already. */
+  /** Replicas that bootstrap the first group; empty when a group exists already. */
   readonly bootstrapReplicas: readonly string[];
-  /** Addresses to ask for a group. */
+  /** Addresses to contact for an existing group. */
   readonly seeds: () => readonly string[];
-  /** Members that may be lost at the same time. */
+  /** Number of members that may be lost at the same time. */
   readonly tolerance: number;
   readonly transport: Transport;
   readonly timer: Timer;
   readonly journal: Journal;
 }
 
-/** Heartbeats cost processor time on every replica; an election may take two seconds. */
+/** Heartbeats cost CPU time on every replica; an election may take two seconds. */
 const HEARTBEAT_INTERVAL_MS = 150;
 const LEASE_DURATION_MS = 900;
 const ELECTION_TIMEOUT_MS = 1000;
 
-/** A document of the largest allowed body that hardly compresses still fits. */
+/** Large enough for a document of the largest allowed body that hardly compresses. */
 const MAX_COMMAND_BYTES = 6 * 1024 * 1024;
 
-/** Small segments and snapshots keep hundreds of large documents within a small disk. */
+/** Small segments and snapshots, so that hundreds of large documents fit on a small disk. */
 const SEGMENT_BYTES = 1024 * 1024;
 const SNAPSHOT_BYTES = 2 * 1024 * 1024;
 const SNAPSHOT_ENTRIES = 512;
 const TRAILING_ENTRIES = 64;
 
-/** Interval of looking at the members, and at a replica that has stopped. */
+/** Interval at which the membership and the state of the replica are checked. */
 const CHECK_INTERVAL_MS = 500;
 
-/** Silence after which a voter is replaced, above the freezes and restarts that pass by themselves. */
+/** Silence after which a voter is replaced; longer than temporary freezes and restarts. */
 const REPLACE_VOTER_AFTER_MS = 3000;
 const REMOVE_LEARNER_AFTER_MS = 120_000;
 
-/** Pause before a replica with a failed disk is opened again. */
+/** Delay before a replica with a failed disk is reopened. */
 const REOPEN_DELAY_MS = 500;
 
 const unpackr = new Unpackr({ useRecords: false });
 
-/** Takes every instance with a disk as a learner; the plan of the membership promotes it. */
+/** Admits every instance with a disk as a learner; `planMembership` promotes it later. */
 class AdmitAsLearner extends AdmissionPolicy {
   override admit(): 'learner' {
     return 'learner';
   }
 }
 
-/** The replica of an instance with a disk: opened again when its disk fails. @public */
+/** The registry replica of an instance with a disk; it is reopened after a disk failure. @public */
 export class Registry implements Disposable {
-  /** Called when this replica begins or ceases to lead, and when another leads. */
+  /** Called when this replica gains or loses leadership, and when another replica leads. */
   onRole: () => void = () => {};
 
   readonly stateMachine = new RegistryMachine();
@@ -91,7 +91,7 @@
 
   #isClosed = false;
 
-  /** Monotonic time since which this replica leads. */
+  /** Monotonic time at which this replica became leader; `Infinity` while it is not. */
   #leaderSince = Infinity;
 
   constructor(options: RegistryOptions) {
@@ -100,7 +100,7 @@
     this.#store.add(options.timer.every(CHECK_INTERVAL_MS, () => this.#checkReplica()));
   }
 
-  /** Opens the replica; a failure of the disk is logged and tried again later. */
+  /** Opens the replica; a disk failure is logged and opening is retried later. */
   async open(): Promise<void> {
     const { address, directory, bootstrapReplicas, transport, timer, journal, seeds } =
       this.#options;
@@ -137,12 +137,12 @@
     }
   }
 
-  /** Whether this replica leads and holds its lease, so that effects outside are allowed. */
+  /** Whether this replica leads and holds its lease, so that external side effects are allowed. */
   get isLeader(): boolean {
     return this.#replica?.holdsLease ?? false;
   }
 
-  /** Time for which this replica has led without a break, in milliseconds. */
+  /** Time for which this replica has led without interruption, in milliseconds. */
   get leadershipMs(): number {
     return this.isLeader ? this.#options.timer.now() - this.#leaderSince : 0;
   }
@@ -156,17 +156,17 @@
     return this.#replica?.status.membership.members.map(({ replica }) => replica) ?? [];
   }
 
-  /** The configuration that was in force here before a restart. */
+  /** The cached configuration that this instance used before a restart, if there is one. */
   readCachedConfiguration(): Promise<StoredConfiguration | undefined> {
     return this.#cache.read();
   }
 
-  /** Keeps a committed configuration for the next start. */
+  /** Caches a committed configuration for the next start. */
   cacheConfiguration(configuration: StoredConfiguration): void {
     this.#cache.write(configuration);
   }
 
-  /** Commits a document; resolves once a quorum has it on disk. */
+  /** Commits a document; resolves once a quorum has stored it on disk. */
   configure(version: number, body: Uint8Array): Promise<Result<ConfigureOutcome, Failure>> {
     return this.#propose<ConfigureOutcome>({ type: 'configure', version, body });
   }
@@ -177,7 +177,7 @@
     return confirmed.map(() => this.stateMachine.configuration);
   }
 
-  /** Freezes the counts of a window; resolves to those that are kept. */
+  /** Freezes the counts of a window; resolves to the stored counts, which may be earlier ones. */
   async closeWindow(window: number, counts: string): Promise<Result<string, Failure>> {
     const closed = await this.#propose<string>({ type: 'closeWindow', window, counts });
     if (closed.isOk())
@@ -185,8 +185,8 @@
     return closed;
   }
 
-  /** Hands leadership over before a planned stop. */
-  async handOver(): Promise<void> {
+  /** Transfers leadership to another replica before a planned stop. */
+  async transferLeadership(): Promise<void> {
     if (this.isLeader) await this.#replica?.transferLeadership();
   }
 
--- a/packages/registry/src/lib/RegistryMachine.test.ts
+++ b/packages/registry/src/lib/RegistryMachine.test.ts
@@ -17,14 +17,14 @@
   return Buffer.from(machine.configuration?.body ?? []).toString();
 }
 
-test('the highest version wins, in whatever order versions come', () => {
+test('the highest version wins, whatever the order of arrival', () => {
   const machine = new RegistryMachine();
   assert.deepEqual(apply(machine, configure(7, 'seven')), { isStored: true, version: 7 });
   assert.deepEqual(apply(machine, configure(3, 'three')), { isStored: false, version: 7 });
   assert.equal(storedText(machine), 'seven');
 });
 
-test('other content under the version held changes nothing', () => {
+test('a different document with the current version is ignored', () => {
   const machine = new RegistryMachine();
   apply(machine, configure(7, 'seven'));
   assert.deepEqual(apply(machine, configure(7, 'other')), { isStored: false, version: 7 });
--- a/packages/registry/src/lib/RegistryMachine.ts
+++ b/packages/registry/src/lib/RegistryMachine.ts
@@ -1,22 +1,22 @@
 import { StateMachine } from '@berylwood/consensus';
 import { Packr, Unpackr } from 'msgpackr';
 
-/** A configuration as it was sent, compressed, under its external version. @public */
+/** A configuration as it was received, compressed, with its external version. @public */
 export interface StoredConfiguration {
   readonly version: number;
   /** Raw deflate of the document's bytes, so that it is read back unchanged. */
   readonly body: Uint8Array;
 }
 
-/** What became of a proposed configuration. @public */
+/** Outcome of a proposed configuration. @public */
 export interface ConfigureOutcome {
-  /** Whether the version was higher than the one held, and the document is now in force. */
+  /** Whether the version was higher than the stored one, so that the document is in force. */
   readonly isStored: boolean;
   /** The version in force. */
   readonly version: number;
 }
 
-/** A command of the log. @internal */
+/** A command of the replicated log. @internal */
 export type RegistryCommand =
   | { readonly type: 'configure'; readonly version: number; readonly body: Uint8Array }
   | { readonly type: 'closeWindow'; readonly window: number; readonly counts: string }
@@ -30,7 +30,7 @@
 
 const SNAPSHOT_FORMAT = 1;
 
-/** Closed windows kept for exact repeats: an hour of windows of five seconds. */
+/** Closed windows kept to repeat their reports exactly: one hour of five-second windows. */
 const MAX_CLOSED_WINDOWS = 720;
 
 const packr = new Packr({ useRecords: false });
@@ -41,9 +41,9 @@
   return packr.pack(command);
 }
 
-/** The document in force and the frozen counts of usage windows. @public */
+/** State machine of the document in force and the frozen counts of usage windows. @public */
 export class RegistryMachine extends StateMachine {
-  /** Called after a higher version was stored or restored. */
+  /** Called after a higher version was stored, or a snapshot was restored. */
   onConfiguration: (configuration: StoredConfiguration) => void = () => {};
 
   #configuration: StoredConfiguration | undefined;
@@ -54,7 +54,7 @@
     return this.#configuration;
   }
 
-  /** Number of the latest window that is closed; -1 without one. */
+  /** Number of the latest closed window; -1 without one. */
   get lastClosedWindow(): number {
     return Math.max(-1, ...this.#windows.keys());
   }
@@ -94,7 +94,7 @@
     this.onConfiguration(configuration);
   }
 
-  /** The highest version wins; a repeat or an overtaken version changes nothing. */
+  /** The highest version wins; a repeated or lower version changes nothing. */
   #configure(version: number, body: Uint8Array): ConfigureOutcome {
     const current = this.#configuration;
     if (current && current.version >= version) return { isStored: false, version: current.version };
@@ -103,7 +103,7 @@
     return { isStored: true, version };
   }
 
-  /** The first counts of a window are kept, so that a report is the same however often it is sent. */
+  /** The first counts of a window are kept, so that all reports of a window are identical. */
   #closeWindow(window: number, counts: string): string {
     const frozen = this.#windows.get(window);
     if (frozen !== undefined) return frozen;
--- a/packages/registry/src/lib/ReportTimes.test.ts
+++ b/packages/registry/src/lib/ReportTimes.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { ReportTimes } from './ReportTimes';
 
-test('a window waits for an instance that is expected and silent', () => {
+test('a window waits for an expected instance that has not reported', () => {
   const reports = new ReportTimes();
   reports.markReported('a', 5000);
   assert.equal(reports.haveAllReported([], 4000), true);
@@ -12,7 +12,7 @@
   assert.equal(reports.haveAllReported([], 5500), false);
 });
 
-test('an instance that is gone is waited for no longer', () => {
+test('an expired instance is no longer waited for', () => {
   const reports = new ReportTimes();
   reports.markReported('a', 1000);
   reports.markReported('b', 30_000);
--- a/packages/registry/src/lib/ReportTimes.ts
+++ b/packages/registry/src/lib/ReportTimes.ts
@@ -1,7 +1,7 @@
-/** Silence after which an instance counts as gone, above every cut that may heal. */
+/** Silence after which an instance is no longer waited for; above partitions that may heal. */
 const EXPIRY_MS = 20_000;
 
-/** When instances last reported to this leader, in fleet time. @internal */
+/** Times of the last reports of instances to this leader, in fleet time. @internal */
 export class ReportTimes {
   readonly #times = new Map<string, number>();
 
@@ -19,7 +19,7 @@
     this.#times.clear();
   }
 
-  /** Whether all that have ever reported, and all that are expected, have done so since a time. */
+  /** Whether all expected instances, and all that ever reported, have reported since `sinceMs`. */
   haveAllReported(expected: readonly string[], sinceMs: number): boolean {
     const known = new Set([...this.#times.keys(), ...expected]);
     return [...known].every((instance) => (this.#times.get(instance) ?? 0) >= sinceMs);
--- a/packages/registry/src/lib/UsageLedger.test.ts
+++ b/packages/registry/src/lib/UsageLedger.test.ts
@@ -11,7 +11,7 @@
   assert.deepEqual(ledger.total(5), { w: 4 });
 });
 
-test('closed windows are forgotten and no longer reported', () => {
+test('closed windows are discarded and no longer reported', () => {
   const ledger = new UsageLedger();
   ledger.countRequest('own', 5, 'w');
   ledger.countRequest('own', 6, 'w');
--- a/packages/registry/src/lib/UsageLedger.ts
+++ b/packages/registry/src/lib/UsageLedger.ts
@@ -1,9 +1,9 @@
-/** Requests begun by each workspace in one window. @public */
+/** Number of requests started in one window, by workspace. @public */
 export type WindowCounts = Record<string, number>;
 
 /**
  * Counts of usage windows that are not closed yet. Each instance reports cumulative counts, so that
- * a repeated report changes nothing and a new leader learns all of them again.
+ * a repeated report changes nothing and a new leader receives all counts again.
  * @public
  */
 export class UsageLedger {
@@ -14,13 +14,13 @@
     return Math.max(0, ...this.#windows.keys());
   }
 
-  /** Adds a request of this instance. */
+  /** Counts one request of this instance. */
   countRequest(source: string, window: number, workspace: string): void {
     const counts = this.#countsOf(window, source);
     counts[workspace] = (counts[workspace] ?? 0) + 1;
   }
 
-  /** Takes over the cumulative counts that another instance reports. */
+  /** Merges cumulative counts of another instance; for each workspace the higher count wins. */
   mergeCounts(source: string, window: number, counts: WindowCounts): void {
     const known = this.#countsOf(window, source);
     for (const [workspace, count] of Object.entries(counts)) {
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Counts of one source in the windows after a number. */
+  /** Counts of one source in the windows after `window`. */
   countsSince(source: string, window: number): [number, WindowCounts][] {
     return [...this.#windows].flatMap(([number, sources]): [number, WindowCounts][] => {
       const counts = sources.get(source);
@@ -36,7 +36,7 @@
     });
   }
 
-  /** Sum over all sources. */
+  /** Sum of the counts of all sources. */
   total(window: number): WindowCounts {
     const total: WindowCounts = {};
     for (const counts of this.#windows.get(window)?.values() ?? []) {
@@ -47,7 +47,7 @@
     return total;
   }
 
-  /** Forgets windows up to a number. */
+  /** Discards all windows up to and including `window`. */
   discardThrough(window: number): void {
     for (const number of this.#windows.keys()) {
       if (number <= window) this.#windows.delete(number);
--- a/packages/registry/src/lib/codes.ts
+++ b/packages/registry/src/lib/codes.ts
@@ -13,7 +13,7 @@
     number: 9201,
     status: 503,
     notRun: true,
-    meaning: 'The replica of this instance is closed or opening again after a failure of its disk.',
-    remedy: 'Retry on another instance; look at the disk if it lasts.',
+    meaning: 'The replica of this instance is closed or is being reopened after a disk failure.',
+    remedy: 'Retry on another instance; check the disk if it persists.',
   },
 });
--- a/packages/registry/src/lib/planMembership.test.ts
+++ b/packages/registry/src/lib/planMembership.test.ts
@@ -19,12 +19,12 @@
   assert.equal(planMembership(members, 3, LIMITS), undefined);
 });
 
-test('a silent voter keeps its vote while nobody can take it over', () => {
+test('a silent voter keeps its vote while no learner can replace it', () => {
   const members = [member('a'), member('b'), member('c', 'voter', 9000)];
   assert.equal(planMembership(members, 3, LIMITS), undefined);
 });
 
-test('a learner takes the place of a silent voter, which becomes a learner', () => {
+test('a learner replaces a silent voter, which becomes a learner', () => {
   const members = [member('a'), member('b'), member('c', 'voter', 9000), member('d', 'learner')];
   assert.deepEqual(planMembership(members, 3, LIMITS), { replica: 'd', change: 'promote' });
   const after = [member('a'), member('b'), member('c', 'voter', 9000), member('d')];
@@ -36,7 +36,7 @@
   assert.deepEqual(planMembership(members, 3, LIMITS), { replica: 'd', change: 'demote' });
 });
 
-test('a learner that has been silent for long is forgotten', () => {
+test('a learner that stays silent is removed', () => {
   const members = [member('a'), member('b'), member('c'), member('d', 'learner', 70_000)];
   assert.deepEqual(planMembership(members, 3, LIMITS), { replica: 'd', change: 'remove' });
 });
--- a/packages/registry/src/lib/planMembership.ts
+++ b/packages/registry/src/lib/planMembership.ts
@@ -1,10 +1,10 @@
 import type { MemberKind, ReplicaName } from '@berylwood/consensus';
 
-/** What the leader knows of a member. @public */
+/** State of a member as observed by the leader. @public */
 export interface MemberHealth {
   readonly replica: ReplicaName;
   readonly kind: MemberKind;
-  /** Time since its last answer, or since the leader began to wait for one, in milliseconds. */
+  /** Time since its last reply, or since the leader started to wait for one, in milliseconds. */
   readonly silenceMs: number;
 }
 
@@ -18,14 +18,14 @@
 export interface MembershipLimits {
   /** Silence after which a voter is replaced by a learner. */
   readonly replaceAfterMs: number;
-  /** Silence after which a learner is forgotten. */
+  /** Silence after which a learner is removed. */
   readonly removeAfterMs: number;
 }
 
 /**
- * The next change that brings the number of voters to the target and moves votes from silent
- * members to answering ones. A silent voter keeps its vote as long as nobody can take it over: it
- * may come back, and fewer voters tolerate fewer losses.
+ * Returns the next change that brings the number of voters to the target and moves votes from
+ * silent members to responsive ones. A silent voter keeps its vote while no learner can replace it,
+ * as it may return and fewer voters tolerate fewer losses.
  * @public
  */
 export function planMembership(
