--- a/deploy/start.cjs
+++ b/deploy/start.cjs
@@ -1,6 +1,6 @@
 /**
- * Runs the bundle beside this file, with its compiled code where that fits this Node.js, and with the
- * settings file that the platform names in the environment.
+ * Runs the bundle in this directory, with its code cache if that matches this version of Node.js, and
+ * with the settings file that the platform names in the environment.
  */
 process.on('SIGHUP', () => {});
 const { existsSync, readFileSync, writeFileSync } = require('node:fs');
