--- a/packages/policy/src/lib/FairScheduler.ts
+++ b/packages/policy/src/lib/FairScheduler.ts
@@ -255,7 +255,8 @@
   #selectForExpired(pool: WaitingPool, { job }: Ticket, now: number): EndpointId | undefined {
     const urgent = this.#router.selectUrgent(job, now);
     if (urgent) return urgent;
-    if (!pool.hasWaitingBelow(job.tier) && !this.#router.mayHaveLowerTierWork(job, now)) return undefined;
+    if (!pool.hasWaitingBelow(job.tier) && !this.#router.mayHaveLowerTierWork(job, now))
+      return undefined;
     return this.#router.selectQueue(job, now);
   }
 
