--- a/packages/policy/src/lib/routing/BlockTable.ts
+++ b/packages/policy/src/lib/routing/BlockTable.ts
@@ -1,15 +1,15 @@
 /* eslint-disable no-bitwise -- a hash table over 32-bit integers */
 
-/** Entries that share one place of the table; the least recently used one is replaced. */
+/** Entries per set; the least recently used one is replaced. */
 const WAYS = 4;
 
-/** Endpoints remembered for a block. */
+/** Most endpoints that are stored for one block. */
 const ENDPOINTS_PER_BLOCK = 4;
 
-/** Words of an entry, which lie together so that a lookup reads few cache lines. */
+/** 32-bit words per entry. They are contiguous so that a lookup reads few cache lines. */
 const WORDS_PER_ENTRY = 8;
 
-/** Offsets within an entry; a tag of 0 marks an empty one. */
+/** Word offsets within an entry. A tag of 0 marks an empty entry. */
 const TAG = 0;
 const WORKSPACE = 1;
 const USED_AT = 2;
@@ -22,11 +22,13 @@
 const NOT_FOUND = -1;
 
 /**
- * Bounded set-associative table from (workspace, block digest) to the endpoints that may hold the
- * block. Typed arrays keep it small and out of the garbage collector's sight; a lookup reads one
- * place of the table. Workspaces and endpoints are small numbers given by the caller, from 1.
- * Digests are compared by 32 bits of hash beside the place: a collision costs a cache miss, and it
- * never crosses workspaces, whose numbers are compared in full.
+ * Bounded set-associative table that maps (workspace, block digest) to the endpoints that may have
+ * the block cached. The entries are stored in a typed array, which is compact and adds no objects for
+ * the garbage collector to trace. A lookup reads a single set. The caller identifies workspaces and
+ * endpoints by small integers that start at 1.
+ *
+ * Within a set, digests are compared by a 32-bit hash only. A collision costs a cache miss at the
+ * endpoint. It never crosses workspaces, since workspace numbers are compared in full.
  * @internal
  */
 export class BlockTable {
@@ -34,21 +36,24 @@
 
   readonly #words: Uint32Array;
 
-  /** Counts uses; it wraps after 4 billion, which only blurs the order of use for a while. */
+  /**
+   * Logical clock for the least recently used order. It wraps around after 4 billion uses, which
+   * distorts that order for a short time and has no other effect.
+   */
   #clock = 0;
 
-  /** Place and tag of the digest that was hashed last. */
+  /** Set and tag of the digest that `#hash` was last called with. */
   #setIndex = 0;
 
   #tag = 0;
 
-  /** @param sets number of places, a power of 2; each holds four blocks */
+  /** @param sets number of sets, a power of 2; each holds four blocks */
   constructor(sets: number) {
     this.#mask = sets - 1;
     this.#words = new Uint32Array(sets * WAYS * WORDS_PER_ENTRY);
   }
 
-  /** Endpoints of a block, the latest first; empty when it is not known. */
+  /** Endpoints of a block, most recently added first. Empty for an unknown block. */
   get(workspace: number, digest: string): number[] {
     const entry = this.#find(workspace, digest);
     if (entry === NOT_FOUND) return [];
@@ -61,7 +66,7 @@
     return this.#find(workspace, digest) !== NOT_FOUND;
   }
 
-  /** Notes that the endpoint holds a block of the workspace. */
+  /** Records that the endpoint has a block of the workspace cached. */
   add(workspace: number, digest: string, endpoint: number): void {
     const known = this.#find(workspace, digest);
     const entry = known === NOT_FOUND ? this.#replaceOldest(workspace) : known;
@@ -70,7 +75,7 @@
     this.#moveToFront(entry, endpoint);
   }
 
-  /** Notes an event on a block in whichever workspaces it is known. */
+  /** Applies a cache event to the entries of a block in every workspace that has one. */
   change(digest: string, endpoint: number, isStored: boolean): void {
     this.#hash(digest);
     const end = this.#setEnd();
@@ -81,7 +86,7 @@
     }
   }
 
-  /** Index of the block's entry. */
+  /** Word index of the block's entry, or `NOT_FOUND`. */
   #find(workspace: number, digest: string): number {
     this.#hash(digest);
     const words = this.#words;
@@ -92,7 +97,7 @@
     return NOT_FOUND;
   }
 
-  /** Takes the least recently used entry at the place of the digest that was hashed last. */
+  /** Reuses the least recently used entry in the set of the last hashed digest. */
   #replaceOldest(workspace: number): number {
     const words = this.#words;
     const end = this.#setEnd();
@@ -132,7 +137,7 @@
     this.#words[entry + USED_AT] = 0;
   }
 
-  /** First word of the place of the digest that was hashed last. */
+  /** Index of the first word in the set of the last hashed digest. */
   #setStart(): number {
     return this.#setIndex * WAYS * WORDS_PER_ENTRY;
   }
@@ -141,7 +146,7 @@
     return this.#setStart() + WAYS * WORDS_PER_ENTRY;
   }
 
-  /** Two independent 32-bit hashes of the digest, for its place and its tag. */
+  /** Computes two independent 32-bit hashes of the digest, one for its set and one for its tag. */
   #hash(digest: string): void {
     let a = 0x811c9dc5;
     let b = 0x2545f491;
--- a/packages/policy/src/lib/routing/Endpoint.ts
+++ b/packages/policy/src/lib/routing/Endpoint.ts
@@ -4,7 +4,7 @@
 import { EndpointLoad } from './EndpointLoad';
 import type { EndpointPool } from './EndpointPool';
 
-/** An endpoint as one entry knows it. @internal */
+/** One entry's state for an endpoint. @internal */
 export class Endpoint {
   readonly id: EndpointId;
 
@@ -12,7 +12,7 @@
 
   readonly breaker = new CircuitBreaker();
 
-  /** Pools that it belongs to, one for each model or service that it serves. */
+  /** Pools that contain the endpoint, one for each model or service that it serves. */
   pools: readonly EndpointPool[] = [];
 
   constructor(candidate: Candidate) {
--- a/packages/policy/src/lib/routing/EndpointLoad.ts
+++ b/packages/policy/src/lib/routing/EndpointLoad.ts
@@ -1,28 +1,30 @@
 import type { Load, RequestId } from '@berylwood/schema';
 import type { Candidate } from '../Job';
 
-/** Reports older than this are not relied on for credits alone, in milliseconds. */
+/** Age in milliseconds above which a load report is stale and its credits are no longer used. */
 const STALE_REPORT_MS = 3_000;
 
 /**
- * Time on the way, in milliseconds: what was sent less than this before a report arrived is taken
- * to be missing from it.
+ * Assumed transit time in milliseconds. A load report is assumed not to include requests that were
+ * sent less than this before its arrival.
  */
 const REPORT_TRANSIT_MS = 20;
 
-/** Part of the window that is kept when an endpoint refuses. */
+/** Factor applied to the concurrency window when the endpoint rejects a request. */
 const WINDOW_DECREASE = 0.5;
 
-/** Part of the window that is kept when a request has waited at the endpoint. */
+/** Factor applied to the concurrency window when a request was queued at the endpoint. */
 const WINDOW_DELAY_DECREASE = 0.7;
 
-/** Lowest tier of the configuration's schema. */
+/** Lowest tier that the configuration schema allows. */
 const LOWEST_TIER = 9;
 
 /**
- * What an entry knows of the load of one endpoint: the latest report, which lags, plus what the
- * entry has sent and seen end since. Without a report, or with a stale one, the entry keeps to a
- * window of its own, which grows with each completed request and shrinks with each refused one.
+ * Estimates the load of one endpoint from one entry: the latest load report, which lags, corrected by
+ * the requests that the entry has sent and that have ended since. A concurrency window bounds the
+ * requests that the entry has in flight there, and is the only limit without a report or with a stale
+ * one. It grows with each completed request and shrinks with each rejected or queued one (additive
+ * increase, multiplicative decrease).
  * @internal
  */
 export class EndpointLoad {
@@ -32,23 +34,23 @@
 
   reportedAt = -Infinity;
 
-  /** Sends that the latest report does not contain. */
+  /** Requests sent that the latest report does not include. */
   #unreportedSends = 0;
 
-  /** Times of the latest sends, which a report that arrives now may not contain yet. */
+  /** Send times within `REPORT_TRANSIT_MS`, which a report that arrives now may not include yet. */
   #recentSendTimes: number[] = [];
 
   #endedSinceReport = 0;
 
-  /** Sends beyond the credits since the latest report, by tier. */
+  /** Requests sent beyond the endpoint's credits since the latest report, by tier. */
   readonly #urgentSends = new Uint32Array(LOWEST_TIER + 1);
 
-  /** Tiers of this entry's own requests there. */
+  /** Tiers of this entry's requests in flight at the endpoint. */
   readonly #running = new Map<RequestId, number>();
 
   readonly #runningByTier = new Uint32Array(LOWEST_TIER + 1);
 
-  /** Suspects of this entry that run there. */
+  /** Number of this entry's suspect requests that run at the endpoint. */
   suspects = 0;
 
   #window: number;
@@ -100,7 +102,7 @@
     }
   }
 
-  /** A request has waited there although there should have been room for it. */
+  /** Records that a request was queued at the endpoint although a slot should have been free. */
   recordQueueDelay(): void {
     this.#window = Math.max(1, this.#window * WINDOW_DELAY_DECREASE);
   }
@@ -110,8 +112,9 @@
   }
 
   /**
-   * Requests of the tier that may be sent now without exceeding the endpoint's slots. What waits
-   * there in lower tiers does not count, since the sidecar lets the request go before it.
+   * Number of requests of the tier that can be sent now without exceeding the endpoint's slots.
+   * Requests of lower tiers that wait there are not counted, since the sidecar schedules them after
+   * this one.
    */
   availableSlots(tier: number, now: number): number {
     if (!this.isOpen) return 0;
@@ -126,7 +129,7 @@
     );
   }
 
-  /** Expected requests there, running and waiting, per slot. */
+  /** Estimated number of requests at the endpoint, running and waiting, per slot. */
   loadPerSlot(): number {
     const own = this.#running.size;
     if (!this.load) return own / this.slots;
@@ -135,9 +138,10 @@
     return Math.max(own, expectedRequests) / this.slots;
   }
 
-  /** Lowest (least important) tier known to run there and to be preemptable, or 0. */
+  /** Lowest (least important) tier known to have preemptable work running there, or 0 if none. */
   lowestRunningTier(now: number): number {
-    // The sidecar knows which attempts may be preempted, this entry only which ones it has sent.
+    // Only the sidecar's report distinguishes preemptable attempts. Without a fresh report, only the
+    // tiers of the requests that this entry has sent are known.
     if (this.load && !this.isStale(now)) return this.load.runningTier;
     for (let tier = LOWEST_TIER; tier > 0; tier -= 1) {
       if ((this.#runningByTier[tier] ?? 0) > 0) return tier;
@@ -145,25 +149,25 @@
     return 0;
   }
 
-  /** Whether something waits there, or was sent beyond the credits since the report. */
+  /** Whether requests wait there, or were sent beyond the credits since the latest report. */
   get hasQueue(): boolean {
     return (this.load?.waiting ?? 0) > 0 || this.urgentSends(LOWEST_TIER) > 0;
   }
 
-  /** Sends of the tier and higher ones beyond the credits since the latest report. */
+  /** Requests of the tier and higher tiers sent beyond the credits since the latest report. */
   urgentSends(tier: number): number {
     let sum = 0;
     for (let other = 1; other <= tier; other += 1) sum += this.#urgentSends[other] ?? 0;
     return sum;
   }
 
-  /** Whether work of the tier or a higher one waits there already, for the next slot. */
+  /** Whether a request of the tier or a higher tier already waits there for the next slot. */
   hasWaitingAtOrAbove(tier: number): boolean {
     const waitingTier = this.load?.waitingTier ?? 0;
     return waitingTier > 0 && waitingTier <= tier;
   }
 
-  /** Whether lower work than the tier is known to run or wait there. */
+  /** Whether work of a lower tier is known to run or wait there. */
   hasLowerTierWork(tier: number, now: number): boolean {
     if (this.lowestRunningTier(now) > tier) return true;
     return !this.isStale(now) && (this.load?.waitingTier ?? 0) > tier;
--- a/packages/policy/src/lib/routing/EndpointPool.ts
+++ b/packages/policy/src/lib/routing/EndpointPool.ts
@@ -7,23 +7,25 @@
 import { RendezvousHash } from './RendezvousHash';
 import { SampledSet } from './SampledSet';
 
-/** Time between judgements of slow endpoints, in milliseconds. */
+/** Interval of outlier detection, in milliseconds. */
 const OUTLIER_CHECK_INTERVAL_MS = 500;
 
-/** Draws before all free endpoints are looked through. */
+/** Random samples before falling back to a scan of all free endpoints. */
 const MAX_SAMPLES = 6;
 
 const HIGHEST_TIER = 1;
 
-/** Lowest tier of the configuration's schema. */
+/** Lowest tier that the configuration schema allows. */
 const LOWEST_TIER = 9;
 
-/** Endpoints looked at for each running tier when lower work is to make room. */
+/** Endpoints sampled per running tier when searching for lower-tier work to preempt. */
 const SAMPLES_PER_TIER = 4;
 
 /**
- * The endpoints that serve one model or service, with an index of those that have room: a random
- * one is drawn in O(1), separately for the entry's own data centre and the others.
+ * The endpoints that serve one model or service, with an index of the free ones: those with an
+ * available slot whose circuit breaker allows a request and that are not ejected as outliers. A random
+ * free endpoint is sampled in O(1), either from the entry's own data centre (local) or from the other
+ * ones (remote).
  * @internal
  */
 export class EndpointPool {
@@ -39,16 +41,16 @@
 
   readonly #freeRemote = new SampledSet<Endpoint>();
 
-  /** Slow endpoints that are due for a probe. */
+  /** Ejected endpoints that are due for a probe. */
   readonly #probes = new SampledSet<Endpoint>();
 
-  /** Open endpoints by the lowest tier that runs there. */
+  /** Open endpoints, indexed by the lowest tier that runs there. */
   readonly #byRunningTier = Array.from(
     { length: LOWEST_TIER + 1 },
     () => new SampledSet<Endpoint>(),
   );
 
-  /** Index in `byRunningTier` of each endpoint. */
+  /** Index of each endpoint in `#byRunningTier`. */
   readonly #runningTiers = new Map<Endpoint, number>();
 
   #outliersCheckedAt = -Infinity;
@@ -61,7 +63,7 @@
     return this.#members;
   }
 
-  /** Whether an endpoint has room. */
+  /** Whether any endpoint is free. */
   get hasFree(): boolean {
     return this.#freeLocal.size + this.#freeRemote.size > 0;
   }
@@ -86,7 +88,7 @@
     for (const member of members) this.update(member, now);
   }
 
-  /** Brings the index up to date after a change of one endpoint. */
+  /** Updates the index after a change of one endpoint. */
   update(endpoint: Endpoint, now: number): void {
     const hasRoom =
       endpoint.load.availableSlots(HIGHEST_TIER, now) > 0 && endpoint.breaker.allows(now);
@@ -98,7 +100,7 @@
     this.#setRunningTier(endpoint, endpoint.load.isOpen ? endpoint.load.lowestRunningTier(now) : 0);
   }
 
-  /** Brings the index up to date with the passing of time; called a few times a second. */
+  /** Updates the parts of the index that depend on time. Called a few times per second. */
   refresh(now: number): void {
     if (now - this.#outliersCheckedAt >= OUTLIER_CHECK_INTERVAL_MS) {
       this.#outliersCheckedAt = now;
@@ -113,18 +115,18 @@
     );
   }
 
-  /** Whether the job may go to the endpoint, which has room. */
+  /** Whether the endpoint is free, eligible for the job and has a slot available for its tier. */
   accepts(endpoint: Endpoint, job: Job, now: number): boolean {
     if (!this.#freeLocal.has(endpoint) && !this.#freeRemote.has(endpoint)) return false;
     return isEligible(endpoint, job) && endpoint.load.availableSlots(job.tier, now) > 0;
   }
 
-  /** The endpoint that all entries prefer for a prefix key. */
+  /** The endpoint that all entries prefer for a prefix key, by rendezvous hashing. */
   preferredEndpoint(key: string): Endpoint | undefined {
     return this.#rendezvous.find(key);
   }
 
-  /** A random endpoint with room that suits the job. */
+  /** A random free endpoint that is eligible for the job. */
   sampleFree(job: Job, isLocal: boolean, random: Random, now: number): Endpoint | undefined {
     const set = isLocal ? this.#freeLocal : this.#freeRemote;
     for (let i = 0; i < MAX_SAMPLES; i += 1) {
@@ -136,8 +138,8 @@
   }
 
   /**
-   * An endpoint that runs lower work than the tier, the lowest first; a few random ones are looked
-   * at for each running tier.
+   * An endpoint that runs work of a lower tier than `tier`, starting with the lowest tier. For each
+   * running tier, a few endpoints are sampled and the least loaded acceptable one is returned.
    */
   sampleLowerTier(
     tier: number,
@@ -152,7 +154,7 @@
     return undefined;
   }
 
-  /** A slow endpoint that is due for a probe and suits the job. */
+  /** An ejected endpoint that is due for a probe and eligible for the job. */
   sampleProbe(job: Job, random: Random): Endpoint | undefined {
     const sampled = this.#probes.sample(random);
     return sampled && isEligible(sampled, job) ? sampled : undefined;
@@ -167,7 +169,7 @@
   }
 }
 
-/** The least loaded of a few random acceptable members. */
+/** The least loaded acceptable endpoint of a few random samples. */
 function sampleLeastLoaded(
   set: SampledSet<Endpoint>,
   isAcceptable: (endpoint: Endpoint) => boolean,
@@ -183,7 +185,11 @@
   return best;
 }
 
-/** Whether the job may go to the endpoint at all. @internal */
+/**
+ * Whether the job may be sent to the endpoint, regardless of load: the endpoint is not on the job's
+ * avoid list, and a suspect job does not share an endpoint with another suspect.
+ * @internal
+ */
 export function isEligible(endpoint: Endpoint, job: Job): boolean {
   if (job.avoid.includes(endpoint.id)) return false;
   return !job.isSuspect || endpoint.load.suspects === 0;
--- a/packages/policy/src/lib/routing/PrefixIndex.test.ts
+++ b/packages/policy/src/lib/routing/PrefixIndex.test.ts
@@ -9,7 +9,7 @@
 const [e1, e2]: EndpointId[] = [asId('e1'), asId('e2')];
 const blocks = Array.from({ length: 100 }, (_, i) => `block-${i}`);
 
-test('finds the longest prefix and the endpoint that got it last', () => {
+test('finds the longest prefix and the endpoint that received it most recently', () => {
   const index = new PrefixIndex();
   index.sent(alpha, blocks.slice(0, 4), e1 as EndpointId);
   assert.deepEqual(index.find(alpha, blocks), { endpoints: [e1], length: 4 });
@@ -19,7 +19,7 @@
   assert.ok(index.find(alpha, blocks).length >= 96);
 });
 
-test('never crosses workspaces, not even by cache events', () => {
+test('never matches blocks across workspaces, not even after cache events', () => {
   const index = new PrefixIndex();
   index.sent(alpha, blocks, e1 as EndpointId);
   index.changed(e2 as EndpointId, [{ kind: 'stored', blocks }]);
@@ -27,7 +27,7 @@
   assert.deepEqual(index.find(alpha, blocks).endpoints, [e2, e1]);
 });
 
-test('an eviction takes the endpoint out; unknown blocks and gaps do no harm', () => {
+test('an eviction event removes the endpoint; unknown blocks and gaps are tolerated', () => {
   const index = new PrefixIndex();
   index.sent(alpha, blocks.slice(0, 8), e1 as EndpointId);
   index.changed(e1 as EndpointId, [
@@ -37,7 +37,7 @@
   assert.deepEqual(index.find(alpha, blocks.slice(0, 8)), { endpoints: [e1], length: 4 });
 });
 
-test('stays within its size', () => {
+test('does not exceed its capacity', () => {
   const index = new PrefixIndex(16);
   for (let i = 0; i < 1_000; i += 1) index.sent(alpha, [`prompt-${i}`], e1 as EndpointId);
   const known = Array.from({ length: 1_000 }, (_, i) => index.find(alpha, [`prompt-${i}`]).length);
--- a/packages/policy/src/lib/routing/PrefixIndex.ts
+++ b/packages/policy/src/lib/routing/PrefixIndex.ts
@@ -1,33 +1,33 @@
 import type { CacheEvent, EndpointId, WorkspaceId } from '@berylwood/schema';
 import { BlockTable } from './BlockTable';
 
-/** Places of the block table: 65,536 blocks in all. */
+/** Sets of the block table, which give it a capacity of 65,536 blocks. */
 const DEFAULT_SETS = 16_384;
 
-/** Blocks at the beginning of a prompt that are all remembered. */
+/** Every block up to this depth is indexed. */
 const DENSE_DEPTHS = 4;
 
-/** Deeper blocks are remembered at these intervals, each up to this depth. */
+/** Deeper blocks are indexed at these intervals, each interval up to its `end` depth. */
 const SPARSE_DEPTHS = [
   { interval: 4, end: 64 },
   { interval: 16, end: 256 },
   { interval: 64, end: 1_024 },
 ] as const;
 
-/** Blocks of a prompt that are remembered, counted from 1; bounds the work for a long prompt. */
+/** Depths of the indexed blocks, counted from 1. Sparse depths bound the work for long prompts. */
 const DEPTHS = listDepths();
 
-/** Endpoints that are thought to hold the longest prefix of a prompt. @internal */
+/** Endpoints that are expected to have the longest known prefix of a prompt cached. @internal */
 export interface PrefixMatch {
-  /** The one that got the prefix last comes first. */
+  /** Most recent recipient of the prefix first. */
   readonly endpoints: readonly EndpointId[];
-  /** Blocks of the prefix that they hold. */
+  /** Length of the matched prefix, in blocks. */
   readonly length: number;
 }
 
 const noMatch: PrefixMatch = { endpoints: [], length: 0 };
 
-/** Small numbers for ids, from 1, in order of first use. */
+/** Interns ids as small integers, starting at 1, in order of first use. */
 class Interner<Key> {
   readonly #numbers = new Map<Key, number>();
 
@@ -47,10 +47,10 @@
 }
 
 /**
- * Which endpoint is thought to hold which prompt blocks of which workspace. It learns from what was
- * sent and from cache events, both of which are hints: events come late and with gaps, so a wrong
- * entry costs a cache miss and nothing else. Blocks belong to a workspace, so that a workspace can
- * not learn by timing what another one has asked.
+ * Tracks which endpoints are expected to have which prompt blocks of which workspace cached. The index
+ * is built from sent prompts and from cache events. Both are hints, since events arrive late and with
+ * gaps. A wrong entry only costs a cache miss. Blocks are kept per workspace, so that a workspace
+ * cannot infer another workspace's prompts from response times.
  * @internal
  */
 export class PrefixIndex {
@@ -60,12 +60,15 @@
 
   readonly #endpoints = new Interner<EndpointId>();
 
-  /** @param sets size of the table, a power of 2; each place holds four blocks */
+  /** @param sets size of the table, a power of 2; each set holds four blocks */
   constructor(sets = DEFAULT_SETS) {
     this.#table = new BlockTable(sets);
   }
 
-  /** Endpoints with the longest known prefix; block digests are chained, so bisection finds it. */
+  /**
+   * Endpoints with the longest known prefix. Each block digest is chained with the preceding one, so
+   * a binary search over the depths finds it.
+   */
   find(workspace: WorkspaceId, blocks: readonly string[]): PrefixMatch {
     const workspaceNumber = this.#workspaces.intern(workspace);
     let low = 0;
@@ -81,7 +84,7 @@
     return { endpoints, length: DEPTHS[low - 1] as number };
   }
 
-  /** A prompt was sent to the endpoint, which will hold its blocks. */
+  /** Records that a prompt was sent to the endpoint, which will cache its blocks. */
   sent(workspace: WorkspaceId, blocks: readonly string[], endpoint: EndpointId): void {
     const workspaceNumber = this.#workspaces.intern(workspace);
     const endpointNumber = this.#endpoints.intern(endpoint);
@@ -90,7 +93,7 @@
       this.#table.add(workspaceNumber, blockAt(blocks, i), endpointNumber);
   }
 
-  /** Takes in cache events; digests that no workspace of this entry has sent are left out. */
+  /** Applies cache events. Digests that no workspace has sent through this entry are ignored. */
   changed(endpoint: EndpointId, events: readonly CacheEvent[]): void {
     const endpointNumber = this.#endpoints.intern(endpoint);
     for (const { kind, blocks } of events) {
@@ -111,12 +114,12 @@
   return depths;
 }
 
-/** Block of a prompt at the remembered depth with this number, from 1. */
+/** Block of a prompt at the indexed depth with this number, counted from 1. */
 function blockAt(blocks: readonly string[], number: number): string {
   return blocks[(DEPTHS[number - 1] as number) - 1] as string;
 }
 
-/** How many of the depths lie within the prompt. */
+/** Number of indexed depths that lie within the prompt. */
 function countDepths(blocks: readonly string[]): number {
   if (blocks.length <= DENSE_DEPTHS) return blocks.length;
   const beyond = DEPTHS.findIndex((depth) => depth > blocks.length);
--- a/packages/policy/src/lib/routing/RendezvousHash.test.ts
+++ b/packages/policy/src/lib/routing/RendezvousHash.test.ts
@@ -6,7 +6,7 @@
 const keys = Array.from({ length: 2_000 }, (_, i) => `workspace block-${i}`);
 const create = (names: readonly string[]) => new RendezvousHash(names, (name) => name);
 
-test('spreads keys evenly, in any order of the members', () => {
+test('distributes keys evenly and independently of the order of the members', () => {
   const hash = create(members);
   const reversed = create([...members].reverse());
   const counts = new Map<string, number>();
@@ -21,7 +21,7 @@
   );
 });
 
-test('moves only the keys of a member that leaves', () => {
+test('moves only the keys of a removed member', () => {
   const before = create(members);
   const after = create(members.slice(1));
   const moved = keys.filter((key) => before.find(key) !== after.find(key));
--- a/packages/policy/src/lib/routing/RendezvousHash.ts
+++ b/packages/policy/src/lib/routing/RendezvousHash.ts
@@ -5,9 +5,10 @@
 const FNV_PRIME = 0x01000193;
 
 /**
- * Rendezvous hashing (highest random weight): all entries agree on the home of a key without
- * talking to each other, and when a member comes or goes only its own keys move. A lookup is linear
- * in the members, with a few integer operations for each; a change costs one hash per member.
+ * Rendezvous hashing (highest random weight). All entries map a key to the same member without
+ * communicating. When a member joins or leaves, only the keys of that member move. A lookup is linear
+ * in the number of members, with a few integer operations for each. A change of the members costs one
+ * hash per member.
  * @internal
  */
 export class RendezvousHash<T> {
@@ -20,7 +21,7 @@
     this.#hashes = Uint32Array.from(members, (member) => hashString(nameOf(member)));
   }
 
-  /** Member that a key belongs to; undefined when there are none. */
+  /** Member that owns the key, or undefined without members. */
   find(key: string): T | undefined {
     const hash = hashString(key);
     let best = 0;
--- a/packages/policy/src/lib/routing/Router.test.ts
+++ b/packages/policy/src/lib/routing/Router.test.ts
@@ -20,7 +20,7 @@
   return endpoint;
 }
 
-test('goes where the prefix is while the load there allows it', () => {
+test('prefers the endpoint with the cached prefix until its load is too high', () => {
   const router = createRouter(8);
   const fields = { blocks, promptTokens: 4_000 };
   const first = send(router, createJob(fields));
@@ -29,7 +29,7 @@
   assert.ok(others.some((endpoint) => endpoint !== first));
 });
 
-test('entries agree on the home of a prefix without talking', () => {
+test('entries choose the same preferred endpoint for a prefix without communicating', () => {
   const job = createJob({ blocks, promptTokens: 4_000 });
   const preferred = [1, 2, 3].map((seed) => createRouter(20, 8, { seed }).select(job, 0));
   assert.equal(new Set(preferred).size, 1);
@@ -46,21 +46,21 @@
   assert.ok(Math.max(...counts.values()) <= 7, `${[...counts.values()]}`);
 });
 
-test('counts what was sent since a report, and holds back when there is no room', () => {
+test('counts requests sent since the last report and selects no endpoint when all slots are used', () => {
   const router = createRouter(1, 2);
   router.reported({ endpoint: asId('e1'), load: createLoad({ credits: 1, running: 1 }), at: 100 });
   assert.equal(send(router, createJob(), 100), 'e1');
   assert.equal(send(router, createJob(), 100), undefined);
 });
 
-test('prefers its own data centre', () => {
+test('prefers endpoints in its own data centre', () => {
   const router = new Router({ dataCentre: asId('dc2') });
   const local = createCandidate({ endpoint: asId('near'), dataCentre: asId('dc2'), slots: 8 });
   router.setCandidates([...createCandidates(4, { slots: 8 }), local], 0);
   assert.equal(send(router, createJob()), 'near');
 });
 
-test('keeps to the avoid list and runs suspects apart', () => {
+test('respects the avoid list and never sends two suspects to the same endpoint', () => {
   const router = createRouter(2);
   const avoid: EndpointId[] = [asId('e1')];
   for (let i = 0; i < 5; i += 1) assert.equal(router.select(createJob({ avoid }), 0), 'e2');
@@ -70,7 +70,7 @@
   assert.equal(send(router, createJob({ isSuspect: true })), undefined);
 });
 
-test('spares a slow endpoint, probes it and takes it back', () => {
+test('ejects a slow endpoint, probes it and returns it to service', () => {
   const router = createRouter(5, 100);
   const observe = (slowCost: number, now: number) => {
     for (let i = 0; i < 10; i += 1) {
@@ -92,7 +92,7 @@
   assert.ok(countSlow(8_000) > 1);
 });
 
-test('an endpoint whose requests fail is left alone for a while', () => {
+test('an endpoint whose requests fail is not selected until its circuit breaker allows a probe', () => {
   const router = createRouter(1);
   for (let i = 0; i < 3; i += 1) {
     const job = createJob();
--- a/packages/policy/src/lib/routing/Router.ts
+++ b/packages/policy/src/lib/routing/Router.ts
@@ -8,38 +8,42 @@
 
 /** Options of a router. @public */
 export interface RouterOptions {
-  /** The entry's own data centre, which is preferred; none is when left out. */
+  /** Data centre of the entry, whose endpoints are preferred. Without it, none are. */
   readonly dataCentre?: DataCentreId;
-  /** Seed of the random choices; entries use different ones, so that they do not herd. Default 1. */
+  /** Random seed. It differs between entries, so that their choices do not herd. Default 1. */
   readonly seed?: number;
-  /** Cost of another data centre, in milliseconds. Default 5. */
+  /** Cost of sending to another data centre, in milliseconds. Default 5. */
   readonly remoteCostMs?: number;
-  /** Prompt tokens that an endpoint reads a second. Default 8000. */
+  /** Prefill rate of an endpoint, in prompt tokens per second. Default 8000. */
   readonly prefillRate?: number;
-  /** Cost of one more request per slot at an endpoint, in milliseconds. Default 200. */
+  /** Cost of a load of one request per slot at an endpoint, in milliseconds. Default 200. */
   readonly loadCostMs?: number;
 }
 
 const defaults = { seed: 1, remoteCostMs: 5, prefillRate: 8_000, loadCostMs: 200 };
 
-/** Time between updates of what depends on time alone, in milliseconds. */
+/** Interval between updates of state that depends on time, in milliseconds. */
 const REFRESH_INTERVAL_MS = 200;
 
-/** Part of a prompt that its home may hold when nothing is known. */
+/** Fraction of a prompt assumed cached at its preferred endpoint without a match in the index. */
 const PREFERRED_CACHED_FRACTION = 0.5;
 
-/** Urgent sends beyond the credits between two reports, as a part of the endpoint's slots. */
+/**
+ * Limit on urgent requests sent beyond the credits between two load reports, as a fraction of the
+ * endpoint's slots.
+ */
 const URGENT_FRACTION = 0.125;
 
-/** An endpoint that a job may go to, with the part of the prompt that it is thought to hold. */
+/** An endpoint that can take a job, with the fraction of the prompt expected to be cached there. */
 interface RouteOption {
   readonly endpoint: Endpoint;
   readonly cachedFraction: number;
 }
 
 /**
- * Chooses endpoints: the cheapest of two random ones with room, of those thought to hold the prompt's
- * prefix, and of the prefix's home. The cost is the expected time to the first token.
+ * Chooses endpoints by expected time to the first token. The options are a few random endpoints with
+ * free slots, and the endpoints expected to have a prefix of the prompt cached. If none is known, the
+ * preferred endpoint of the prefix is an option instead.
  * @public
  */
 export class Router {
@@ -61,7 +65,7 @@
     this.#pools = new PoolMap(() => new EndpointPool(this.#options.dataCentre));
   }
 
-  /** Takes in the present endpoints; a new incarnation starts with a clean record. */
+  /** Sets the current endpoints. The state of an endpoint is reset when its incarnation changes. */
   setCandidates(candidates: readonly Candidate[], now: number): void {
     const present = new Map(candidates.map((candidate) => [candidate.endpoint, candidate]));
     for (const [id, { load }] of this.#endpoints) {
@@ -91,14 +95,14 @@
     return this.#pools.get(key);
   }
 
-  /** Brings the state up to date with the passing of time. */
+  /** Updates state that depends on time. */
   refresh(now: number): void {
     if (now - this.#refreshedAt < REFRESH_INTERVAL_MS) return;
     this.#refreshedAt = now;
     for (const pool of this.#pools.values()) pool.refresh(now);
   }
 
-  /** The best endpoint with room, or undefined when the job has to wait. */
+  /** The best endpoint with a free slot, or undefined if the job has to wait. */
   select(job: Job, now: number): EndpointId | undefined {
     const pool = this.pool(job);
     const probe = this.#selectProbe(pool, job, now);
@@ -114,8 +118,9 @@
   }
 
   /**
-   * A full endpoint whose sidecar can make room by preempting work of a lower tier, or whose report
-   * is too old to tell; undefined when none is known.
+   * A full endpoint that runs work of a lower tier, which its sidecar can preempt for the job. If the
+   * load report is stale, this entry's own requests there are considered instead. Undefined if no such
+   * endpoint is known.
    */
   selectUrgent(job: Job, now: number): EndpointId | undefined {
     const chosen = this.pool(job).sampleLowerTier(
@@ -127,7 +132,7 @@
     return chosen?.id;
   }
 
-  /** The least loaded full endpoint where nothing waits, so that the job gets its next slot. */
+  /** The least loaded full endpoint with an empty queue, where the job gets the next free slot. */
   selectQueue(job: Job, now: number): EndpointId | undefined {
     let best: Endpoint | undefined;
     for (const endpoint of this.pool(job).members) {
@@ -137,20 +142,20 @@
     return best?.id;
   }
 
-  /** Whether lower work than the job's is known to run or wait, or can not be ruled out. */
+  /** Whether work of a lower tier runs or waits, or cannot be ruled out because a report is stale. */
   mayHaveLowerTierWork(job: Job, now: number): boolean {
     return this.pool(job).members.some(
       ({ load }) => load.isOpen && (load.isStale(now) || load.hasLowerTierWork(job.tier, now)),
     );
   }
 
-  /** Whether the job may go to the endpoint at all. */
+  /** Whether the job may be sent to the endpoint, regardless of load. */
   isEligible(job: Job, id: EndpointId): boolean {
     const endpoint = this.#endpoints.get(id);
     return endpoint !== undefined && isEligible(endpoint, job);
   }
 
-  /** The job was sent to the endpoint. */
+  /** Records that the job was sent to the endpoint. */
   sent(job: Job, id: EndpointId, isUrgent: boolean, now: number): void {
     const endpoint = this.#endpoints.get(id);
     if (!endpoint) return;
@@ -161,7 +166,7 @@
     this.#update(endpoint, now);
   }
 
-  /** A request that was sent to the endpoint has left it. */
+  /** Records that a request sent to the endpoint has ended. */
   ended(job: Job, id: EndpointId, outcome: Ending['outcome'], now: number): void {
     const endpoint = this.#endpoints.get(id);
     if (!endpoint) return;
@@ -173,18 +178,18 @@
     this.#update(endpoint, now);
   }
 
-  /** Takes in the cost of a piece of work, such as milliseconds per token, to find slow endpoints. */
+  /** Records an observed cost, such as milliseconds per token, for outlier detection. */
   observed(job: Job, id: EndpointId, cost: number, now: number): void {
     const endpoint = this.#endpoints.get(id);
     if (endpoint) this.pool(job).outliers.observe(endpoint, cost, now);
   }
 
-  /** A request that was sent because there was room has waited at the endpoint all the same. */
+  /** Records that a request was queued at the endpoint although a slot should have been free. */
   recordQueueDelay(id: EndpointId): void {
     this.#endpoints.get(id)?.load.recordQueueDelay();
   }
 
-  /** Endpoints that are thought to hold a part of the prompt, or else the prefix's home. */
+  /** Endpoints expected to have a prefix of the prompt cached, else its preferred endpoint. */
   #prefixOptions(pool: EndpointPool, job: Job, match: PrefixMatch, now: number): RouteOption[] {
     if (job.blocks.length === 0) return [];
     if (match.length === 0) {
@@ -202,7 +207,7 @@
     return options;
   }
 
-  /** Random endpoints with room: two near ones and a far one, or two far ones. */
+  /** Random endpoints with free slots: two local ones and a remote one, or else two remote ones. */
   #sampleOptions(pool: EndpointPool, job: Job, now: number): RouteOption[] {
     const local = pool.sampleFree(job, true, this.#random, now);
     const second = pool.sampleFree(job, local !== undefined, this.#random, now);
@@ -214,7 +219,7 @@
     return options;
   }
 
-  /** The first of the cheapest options. */
+  /** The cheapest option; the first one on a tie. */
   #cheapest(pool: EndpointPool, job: Job, options: readonly RouteOption[]): Endpoint | undefined {
     let best: Endpoint | undefined;
     let bestCost = Infinity;
--- a/packages/policy/src/lib/routing/SampledSet.ts
+++ b/packages/policy/src/lib/routing/SampledSet.ts
@@ -1,6 +1,6 @@
 import type { Random } from '@berylwood/base';
 
-/** A set that gives a random member in O(1). @internal */
+/** Set with O(1) random sampling. @internal */
 export class SampledSet<T> {
   readonly #items: T[] = [];
 
@@ -14,7 +14,7 @@
     return this.#positions.has(item);
   }
 
-  /** Adds or removes the item, as wanted. */
+  /** Adds the item if `isMember` is true, otherwise removes it. */
   set(item: T, isMember: boolean): void {
     if (isMember) this.#add(item);
     else this.#delete(item);
