--- a/packages/policy/src/lib/placement/UrgencyScale.ts
+++ b/packages/policy/src/lib/placement/UrgencyScale.ts
@@ -1,20 +1,20 @@
-/** Ranks of what a request belongs to; 0 is the most urgent. @public */
+/** Ranks of a request's workspace and route; 0 is the most urgent. @public */
 export interface RankPair {
-  /** Rank of the workspace, or of the route where the workspace has none: it goes first. */
+  /** Rank of the workspace, or of the route if the workspace has none. Compared first. */
   readonly rank: number;
   /** Rank of the route. */
   readonly routeRank: number;
 }
 
-/** Levels of urgency that endpoints tell apart. @public */
+/** Number of urgency levels that endpoints distinguish. @public */
 export const URGENCY_LEVELS = 10;
 
 const keyOf = ({ rank, routeRank }: RankPair): string => `${rank}/${routeRank}`;
 
 /**
- * Maps ranks of workspaces and of routes to the levels that endpoints know. Load pattern: the long
- * prompts of a workspace queue before its own short ones. Workspaces go first, as operators say;
- * within one rank, routes go by theirs.
+ * Maps ranks of workspaces and routes to the urgency levels of endpoints. The rank of the workspace,
+ * which operators set, takes precedence. Within one rank, routes are ordered by their own rank. Load
+ * pattern: long prompts of a workspace are queued ahead of its own short prompts.
  * @public
  */
 export class UrgencyScale {
@@ -26,7 +26,7 @@
       (a, b) => a.rank - b.rank || a.routeRank - b.routeRank,
     );
     const ranks = [...new Set(ordered.map(({ rank }) => rank))];
-    // With more pairs than levels, only ranks of workspaces are told apart.
+    // With more pairs than levels, only the ranks of workspaces are distinguished.
     const hasLevelPerPair = ordered.length <= URGENCY_LEVELS;
     const factor = Math.min(1, URGENCY_LEVELS / ranks.length);
     ordered.forEach((pair, at) => {
@@ -37,7 +37,7 @@
     });
   }
 
-  /** Level of a pair; the last one for a pair that was not given. */
+  /** Level of a pair; the least urgent level for an unknown pair. */
   levelOf(pair: RankPair): number {
     return this.#levels.get(keyOf(pair)) ?? URGENCY_LEVELS - 1;
   }
--- a/packages/policy/src/lib/placement/admits.test.ts
+++ b/packages/policy/src/lib/placement/admits.test.ts
@@ -5,22 +5,25 @@
 
 const REPORT_ROUTE = { objectiveMs: 1200, timeoutMs: 5000 };
 
-test('what can begin in time is let in, and the rest is turned away at once', () => {
+test('admits a request that can begin in time and rejects one that cannot', () => {
   assert.equal(admits({ ...REPORT_ROUTE, prefillMs: 400, leftMs: 4900, budgetMs: 4900 }), true);
   assert.equal(admits({ ...REPORT_ROUTE, prefillMs: 1000, leftMs: 4900, budgetMs: 4900 }), false);
 });
 
-test('callers that come back after a refusal are let in with a longer queue before them', () => {
+test('admits a caller that retries at a longer queue than a first try', () => {
   assert.equal(admits({ ...REPORT_ROUTE, prefillMs: 550, leftMs: 4900, budgetMs: 4900 }), false);
   assert.equal(admits({ ...REPORT_ROUTE, prefillMs: 550, leftMs: 3800, budgetMs: 3800 }), true);
   assert.equal(admits({ ...REPORT_ROUTE, prefillMs: 1000, leftMs: 3800, budgetMs: 3800 }), false);
 });
 
-test('nobody is let in who would be given up while its prompt is read', () => {
+test('rejects a request that would time out during the prefill of its prompt', () => {
   assert.equal(admits({ ...REPORT_ROUTE, prefillMs: 400, leftMs: 500, budgetMs: 500 }), false);
 });
 
-/** A burst that asks for 1.4 times what can be read; answers the share that begins in time. */
+/**
+ * Simulates a burst of 1.4 times the prefill capacity and returns the fraction of requests that begin
+ * in time.
+ */
 function simulateOverload(seed: number, isBounded: boolean): number {
   const random = new Random(seed);
   const arrivals = 1200;
@@ -39,19 +42,19 @@
   return inTime / arrivals;
 }
 
-test('in an overload most of what can be read begins in time, instead of nothing', () => {
+test('in an overload, admission control makes most requests within the capacity begin in time', () => {
   for (const seed of [1, 2, 3]) {
     const bounded = simulateOverload(seed, true);
     const unbounded = simulateOverload(seed, false);
-    // 10 of 14 can be read.
+    // The capacity is 10 of 14 requests.
     assert.ok(bounded > 0.65, `seed ${seed}: ${bounded}`);
     assert.ok(bounded > 1.5 * unbounded, `seed ${seed}: ${bounded}, unbounded ${unbounded}`);
   }
 });
 
 /**
- * A burst that asks for 1.6 times what can be read, whose refused callers come back once after 0.3
- * to 1 s; answers the share of all callers that begins in time.
+ * Simulates a burst of 1.6 times the prefill capacity in which rejected callers retry once after 0.3
+ * to 1 s. Returns the fraction of all callers whose response begins in time.
  */
 function simulateRetries(seed: number, retryShare: number): number {
   const random = new Random(seed);
@@ -69,7 +72,7 @@
     const input = { ...REPORT_ROUTE, prefillMs, leftMs, budgetMs: leftMs };
     if (admits(input, { ...DEFAULT_ADMISSION_OPTIONS, retryShare })) {
       queueMs = prefillMs;
-      // What is more urgent passes meanwhile.
+      // More urgent requests that arrive meanwhile are prefilled first.
       if (100 + 1.5 * prefillMs <= REPORT_ROUTE.objectiveMs) inTime += 1;
     } else if (!next.isRetry) {
       pending.push({ at: now + random.between(300, 1000), isRetry: true });
@@ -79,11 +82,11 @@
   return inTime / callers;
 }
 
-test('callers that come back in numbers do not make everyone late', () => {
+test('many callers that retry do not delay all responses', () => {
   for (const seed of [1, 2, 3]) {
     const withDefaultShare = simulateRetries(seed, DEFAULT_ADMISSION_OPTIONS.retryShare);
     const withLargeShare = simulateRetries(seed, 1.5);
-    // 10 of 16 can be read.
+    // The capacity is 10 of 16 requests.
     assert.ok(withDefaultShare > 0.55, `seed ${seed}: ${withDefaultShare}`);
     assert.ok(withLargeShare < 0.2, `seed ${seed}: ${withLargeShare}`);
   }
--- a/packages/policy/src/lib/placement/admits.ts
+++ b/packages/policy/src/lib/placement/admits.ts
@@ -1,45 +1,50 @@
-/** What is known of a request when it could be handed to an endpoint. @public */
+/** Timing of a request that is about to be sent to an endpoint, in milliseconds. @public */
 export interface AdmissionInput {
-  /** Expected time until the endpoint has read its prompt, in milliseconds. */
+  /** Expected time until the endpoint has prefilled the prompt, including the queue before it. */
   readonly prefillMs: number;
-  /** Time within which its answer should begin. */
+  /** Time within which the response should begin. */
   readonly objectiveMs: number;
-  /** Time that its route allows in all. */
+  /** Total time that the route allows. */
   readonly timeoutMs: number;
-  /** Time that is left of it. */
+  /** Time that the request has left. */
   readonly leftMs: number;
-  /** Time that the caller gave with it; less than the route allows if it has tried before. */
+  /**
+   * Time that the caller allows. It is less than `timeoutMs` if the caller has tried before. If
+   * undefined, `timeoutMs` is assumed.
+   */
   readonly budgetMs: number | undefined;
 }
 
-/** Options of the admission. @public */
+/** Options of admission control. @public */
 export interface AdmissionOptions {
-  /** Part of the objective that the reading of a first try may take. */
+  /** Fraction of the objective that the prefill of a first try may take. */
   readonly firstTryShare: number;
-  /** The same for callers that come back: they have waited already. */
+  /** The same for a caller that retries, which has already waited. */
   readonly retryShare: number;
 }
 
 /**
- * Defaults. Answers began after 1.5 times the expected reading and 100 ms, in the middle of a
- * measured burst, so that a prompt let in at `returningShare` begins within the objective with some
- * room for more urgent ones that pass it.
+ * Defaults. In the middle of a burst, responses begin after 1.5 times the expected prefill time plus
+ * 100 ms. The response to a prompt admitted at `retryShare` therefore begins within the objective,
+ * with some margin for more urgent prompts that are prefilled first.
  * @public
  */
 export const DEFAULT_ADMISSION_OPTIONS: AdmissionOptions = { firstTryShare: 0.35, retryShare: 0.5 };
 
-/** Part of the route's time below which a caller's own time shows that it has tried before. */
+/** Fraction of the route's timeout below which the caller's time budget indicates a retry. */
 const FIRST_TRY_DEADLINE_SHARE = 0.85;
 
-/** Part of the time left that reading may take in any case. */
+/** Fraction of the remaining time that the prefill may take in any case. */
 const REMAINING_TIME_SHARE = 0.7;
 
 /**
- * Whether a request is let in. Load pattern: more long prompts arrive than engines can read. If all
- * were let in, the queue would grow until every answer begins late; so as many are let in as can
- * begin in time, and the others learn at once when to return. What is more urgent sees a shorter
- * queue, so the least urgent are turned away first. Callers that come back are many then; a queue
- * that is much longer for them stays that long, and everyone's answers begin late.
+ * Whether to admit a request. Load pattern: more long prompts arrive than engines can prefill. If all
+ * were admitted, the queue would grow until every response begins late. Therefore only as many are
+ * admitted as can begin in time, and the other callers are told at once when to retry. More urgent
+ * requests see a shorter queue, so the least urgent ones are rejected first.
+ *
+ * A caller that retries is admitted at a slightly longer queue. It must not be much longer: in an
+ * overload many callers retry, so the queue would stay that long and every response would begin late.
  * @public
  */
 export function admits(
--- a/packages/policy/src/lib/placement/chooseEndpoint.test.ts
+++ b/packages/policy/src/lib/placement/chooseEndpoint.test.ts
@@ -12,7 +12,7 @@
   return loads.map((load, at) => createView(`e-${at}`, load));
 }
 
-test('an endpoint that leaves moves only the parts that it was home to', () => {
+test('the removal of an endpoint moves only the parts that preferred it', () => {
   const all = createViews([0, 0, 0, 0, 0, 0, 0, 0]);
   const rest = all.slice(1);
   for (let part = 0; part < 200; part += 1) {
@@ -26,18 +26,18 @@
   assert.equal(chooseEndpoint(createViews([3, 1, 2]), 0.5)?.key, 'e-1');
 });
 
-test('no place is chosen when there is none', () => {
+test('no endpoint is chosen from an empty list', () => {
   assert.equal(chooseEndpoint([], 0.5), undefined);
 });
 
-test('refused callers return spread over the time in which room comes', () => {
+test('retries of rejected callers are spread over the time in which capacity becomes free', () => {
   const random = new Random(2);
   const times = Array.from({ length: 300 }, () => retryAfterMs(600, 5000, random));
   assert.ok(Math.min(...times) >= 150 && Math.max(...times) <= 1200);
   assert.ok(Math.max(...times) - Math.min(...times) > 600);
 });
 
-test('nobody is asked to wait longer than a third of its time', () => {
+test('no caller is asked to wait longer than a third of its remaining time', () => {
   const random = new Random(3);
   for (let turn = 0; turn < 50; turn += 1) assert.ok(retryAfterMs(600, 1500, random) <= 500);
 });
--- a/packages/policy/src/lib/placement/chooseEndpoint.ts
+++ b/packages/policy/src/lib/placement/chooseEndpoint.ts
@@ -1,25 +1,25 @@
-/** An endpoint as a candidate for a request. @public */
+/** State of an endpoint that is a candidate for a request. @public */
 export interface EndpointView {
-  /** Key for the ranking by hash; the same on all instances. */
+  /** Key for the ranking by hash. It is the same on all instances. */
   readonly key: string;
-  /** Estimated requests that run or wait there, from all instances. */
+  /** Estimated number of requests from all instances that run or wait there. */
   readonly load: number;
-  /** Requests that it runs at a time. */
+  /** Requests that the endpoint runs concurrently. */
   readonly slots: number;
-  /** Whether it lies in the data centre of the instance that asks. */
+  /** Whether the endpoint is in the same data centre as the deciding instance. */
   readonly isLocal: boolean;
 }
 
 /** Options of the placement. @public */
 export interface PlacementOptions {
-  /** Lead that a far endpoint must have over a near one, as a share of its slots. */
+  /** Load per slot that is added to an endpoint in another data centre. */
   readonly remotePenalty: number;
 }
 
-/** Defaults. @public */
+/** Default placement options. @public */
 export const DEFAULT_PLACEMENT_OPTIONS: PlacementOptions = { remotePenalty: 0 };
 
-/** 32-bit FNV-1a with a final mix: ranks places by prompt the same way on all instances. */
+/** 32-bit FNV-1a with a final mix. All instances get the same ranking from it. */
 function hash(text: string): number {
   let value = 0x811c9dc5;
   for (let at = 0; at < text.length; at += 1) {
@@ -32,7 +32,11 @@
   return (value ^ (value >>> 13)) >>> 0;
 }
 
-/** The places that keep a prompt warm, best first (rendezvous hashing). @public */
+/**
+ * The first `count` views in the order in which a prompt prefers them, by rendezvous hashing. A prompt
+ * stays cached at these endpoints, since all instances send it there.
+ * @public
+ */
 export function rankByHash<P extends { readonly key: string }>(
   views: readonly P[],
   prompt: string,
@@ -46,9 +50,10 @@
 }
 
 /**
- * Chooses an endpoint of a plain service: the one with most room for its size. Load pattern: short
+ * Chooses an endpoint of a plain service: the one with the lowest load per slot. Load pattern: short
  * calls that many instances send at the same time.
- * @param draw uniform in [0, 1): spreads ties over the instances that decide at the same time
+ * @param draw random number, uniform in [0, 1). It breaks ties, so that instances that decide at the
+ *   same time choose different endpoints.
  * @public
  */
 export function chooseEndpoint<P extends EndpointView>(
--- a/packages/policy/src/lib/placement/chooseEngine.test.ts
+++ b/packages/policy/src/lib/placement/chooseEngine.test.ts
@@ -23,14 +23,14 @@
   answerTokens: 50,
 };
 
-test('a shared part goes to the same engine from all instances', () => {
+test('all instances choose the same engine for a shared part', () => {
   const first = chooseEngine(engines([0, 0, 0, 0, 0, 0, 0, 0]), PROMPT, 0.1);
   const second = chooseEngine(engines([0, 0, 0, 0, 0, 0, 0, 0]).reverse(), PROMPT, 0.9);
   assert.equal(first?.view.key, second?.view.key);
   assert.equal(first?.tokens, 2890);
 });
 
-test('a prompt leaves its home only when the queue there outweighs reading it anew', () => {
+test('a prompt leaves its preferred engine only when the queue there outweighs recomputing it', () => {
   const idle = engines([0, 0, 0, 0, 0, 0, 0, 0]);
   const preferred = chooseEngine(idle, PROMPT, 0)?.view.key;
   const withQueue = (tokens: number) =>
@@ -40,18 +40,18 @@
   assert.notEqual(chooseEngine(withQueue(2 * recomputeCost), PROMPT, 0)?.view.key, preferred);
 });
 
-/** Tokens of shared parts that an engine keeps beside what its requests hold. */
+/** Tokens of shared parts that an engine can cache in addition to those of its running requests. */
 const CACHE_TOKENS = 150_000;
 const PARTS = 261;
 
-/** An engine that reads prompts at a steady rate and forgets the part that was used longest ago. */
+/** Engine with a constant prefill rate and a cache that evicts the least recently used part. */
 class SimulatedEngine {
   queuedTokens = 0;
 
   readonly #cache = new Set<string>();
 
-  /** Takes a prompt and returns the tokens that it has to read. */
-  prefill(part: string, ownTokens: number): number {
+  /** Queues a prompt and returns the number of tokens to prefill. */
+  enqueue(part: string, ownTokens: number): number {
     const tokens = ownTokens + (this.#cache.delete(part) ? 0 : PROMPT.sharedTokens);
     this.#cache.add(part);
     const [oldest] = this.#cache;
@@ -63,15 +63,18 @@
 }
 
 interface SimulationResult {
-  /** Mean time from the arrival of a prompt to its reading, in milliseconds. */
+  /** Mean time from the arrival of a prompt to the end of its prefill, in milliseconds. */
   readonly waitMs: number;
   readonly prefilledTokens: number;
 }
 
-/** Tokens that an engine reads in a millisecond beside its running requests. */
+/** Tokens that an engine prefills per millisecond while it serves its running requests. */
 const TOKENS_PER_MS = 50;
 
-/** A burst of nine seconds, 110 long prompts a second on eight engines that are cold at first. */
+/**
+ * Simulates a burst of nine seconds with 110 long prompts per second, on eight engines whose caches
+ * are empty at first.
+ */
 function simulateBurst(seed: number, recomputeWeight: number): SimulationResult {
   const random = new Random(seed);
   const simulated = new Map(
@@ -89,7 +92,7 @@
     const choice = chooseEngine(views, prompt, random.next(), options);
     assert.ok(choice);
     const chosen = simulated.get(choice.view.key) as SimulatedEngine;
-    prefilledTokens += chosen.prefill(sharedPart, ownTokens);
+    prefilledTokens += chosen.enqueue(sharedPart, ownTokens);
     waitMs += chosen.queuedTokens / TOKENS_PER_MS;
     const prefilled = (9000 / arrivals) * TOKENS_PER_MS;
     for (const each of simulated.values())
@@ -98,26 +101,26 @@
   return { waitMs: waitMs / arrivals, prefilledTokens };
 }
 
-test('in a burst on cold engines, prompts that stay at their home wait less than ones that roam', () => {
+test('in a burst on engines with empty caches, prompts wait less with affinity than without', () => {
   for (const seed of [1, 2, 3]) {
     const withAffinity = simulateBurst(seed, DEFAULT_ENGINE_OPTIONS.recomputeWeight);
     const withoutAffinity = simulateBurst(seed, 1);
     const figures = `seed ${seed}: ${JSON.stringify({ withAffinity, withoutAffinity })}`;
     assert.ok(withAffinity.prefilledTokens < withoutAffinity.prefilledTokens, figures);
     assert.ok(withAffinity.waitMs < withoutAffinity.waitMs, figures);
-    // The objective of such prompts.
+    // Time in which the response to such a prompt should begin.
     assert.ok(withAffinity.waitMs < 1200, figures);
   }
 });
 
 const isAfter = (now: number) => (time: number) => time > now;
 
-/** Step of a batch that reads no prompt, in milliseconds. */
+/** Duration of a batch step without prefill, in milliseconds. */
 const DECODE_STEP_MS = 4.4;
 
 /**
- * Five seconds of short prompts with long answers, 100 a second on eight engines, of which two in
- * three share one part; answers the largest batch as a multiple of the mean one.
+ * Simulates five seconds of short prompts with long responses, 100 per second on eight engines. Two
+ * in three prompts share one part. Returns the size of the largest batch as a multiple of the mean.
  */
 function simulateHotWorkspace(seed: number, batchWeight: number): number {
   const random = new Random(seed);
@@ -145,17 +148,17 @@
   return largest;
 }
 
-test('long answers of a hot workspace spread over the engines', () => {
+test('long responses of a hot workspace are spread over the engines', () => {
   for (const seed of [1, 2, 3]) {
     const spread = simulateHotWorkspace(seed, DEFAULT_ENGINE_OPTIONS.batchWeight);
     const skewed = simulateHotWorkspace(seed, 0);
-    const figures = `seed ${seed}: ${spread}, without batches ${skewed}`;
+    const figures = `seed ${seed}: ${spread}, with batch weight 0 ${skewed}`;
     assert.ok(spread < 2, figures);
     assert.ok(skewed > 3, figures);
   }
 });
 
-test('no request is sent to an engine whose slots are full while others have room', () => {
+test('no request is sent to a full engine while other engines have free slots', () => {
   const preferred = chooseEngine(engines([0, 0, 0]), PROMPT, 0)?.view.key;
   const chat = { ...PROMPT, sharedTokens: 170, answerTokens: 280 };
   const full = engines([0, 0, 0]).map((view) =>
--- a/packages/policy/src/lib/placement/chooseEngine.ts
+++ b/packages/policy/src/lib/placement/chooseEngine.ts
@@ -1,55 +1,58 @@
 import { rankByHash } from './chooseEndpoint';
 
-/** A model engine as a candidate for a request. @public */
+/** State of a model engine that is a candidate for a request. @public */
 export interface EngineView {
-  /** Key for the ranking by hash; the same on all instances. */
+  /** Key for the ranking by hash. It is the same on all instances. */
   readonly key: string;
-  /** Prompt tokens that all instances have sent there and that are not read yet, as estimated. */
+  /** Estimated prompt tokens from all instances that wait for prefill there. */
   readonly queuedTokens: number;
-  /** Requests that run or wait there, from all instances. */
+  /** Requests from all instances that run or wait there. */
   readonly running: number;
-  /** Requests that it runs at a time. */
+  /** Requests that the engine runs concurrently. */
   readonly slots: number;
-  /** Whether it lies in the data centre of the instance that asks. */
+  /** Whether the engine is in the same data centre as the deciding instance. */
   readonly isLocal: boolean;
 }
 
-/** A prompt as the placement sees it. @public */
+/** Work of a prompt that placement takes into account. @public */
 export interface PromptCost {
-  /** The longest part that other requests share; undefined without one. */
+  /** The longest part that is shared with other requests; undefined if there is none. */
   readonly sharedPart: string | undefined;
-  /** Tokens of that part, which an engine reads unless it keeps them. */
+  /** Tokens of the shared part, which an engine prefills unless it has them cached. */
   readonly sharedTokens: number;
-  /** Tokens that any engine has to read. */
+  /** Tokens that every engine has to prefill. */
   readonly ownTokens: number;
-  /** Tokens that the answer is expected to have. */
+  /** Expected length of the response, in tokens. */
   readonly answerTokens: number;
 }
 
-/** Options of the placement. @public */
+/** Options of the choice of an engine. @public */
 export interface EngineOptions {
-  /** Prompt tokens read in one step of a batch. */
+  /** Prompt tokens that are prefilled in one batch step. */
   readonly chunkTokens: number;
-  /** Time of a step with one chunk, in milliseconds. */
+  /** Duration of a batch step with one chunk of prompt tokens, in milliseconds. */
   readonly stepMs: number;
-  /** Growth of a step by each request that runs, in milliseconds. */
+  /** Time that each running request adds to a batch step, in milliseconds. */
   readonly stepMsPerRequest: number;
-  /** Endpoints, in the order of their rank, that may have read a shared part, and how probably. */
+  /**
+   * Probabilities that an engine has a shared part cached, by the rank of the engine for that part.
+   * Engines of later ranks are assumed not to have it.
+   */
   readonly cacheHitProbabilities: readonly number[];
   /**
-   * Weight of tokens that are read once more because a prompt leaves its home: they delay all that
-   * is queued behind them, too.
+   * Weight of tokens that are recomputed because a prompt leaves its preferred engine. Recomputing
+   * also delays every prompt that is queued behind them.
    */
   readonly recomputeWeight: number;
-  /** Weight of the time by which the batch slows the answer down; 0 leaves batches out. */
+  /** Weight of the time by which the batch delays the response; 0 ignores batches. */
   readonly batchWeight: number;
-  /** Time until one of the requests of a full batch ends, in milliseconds. */
+  /** Time until a request of a full batch ends and releases its slot, in milliseconds. */
   readonly slotReleaseMs: number;
-  /** Lead that a far engine must have, in milliseconds: traffic between data centres costs. */
+  /** Cost of traffic to an engine in another data centre, in milliseconds. */
   readonly remoteCostMs: number;
 }
 
-/** Defaults; the times of a step are those of the engines' data sheet. @public */
+/** Default options. The durations of a step are taken from the engines' data sheet. @public */
 export const DEFAULT_ENGINE_OPTIONS: EngineOptions = {
   chunkTokens: 1024,
   stepMs: 15.5,
@@ -57,12 +60,12 @@
   cacheHitProbabilities: [1, 0.5, 0.25],
   recomputeWeight: 150,
   batchWeight: 1,
-  // Requests stay for 1.5 s on average, in 64 slots.
+  // A request occupies one of 64 slots for 1.5 s on average.
   slotReleaseMs: 25,
   remoteCostMs: 0,
 };
 
-/** Tokens that an engine will read for a prompt, given the chance that it keeps the shared part. */
+/** Expected tokens to prefill, given the probability that the shared part is cached. */
 function expectedPrefillTokens(
   { ownTokens, sharedTokens }: PromptCost,
   cacheHitProbability: number,
@@ -71,8 +74,9 @@
 }
 
 /**
- * Time that an answer loses to the batch it joins, in milliseconds: each request of the batch
- * lengthens each of its steps, and beyond the slots it waits for one to end, or takes its place.
+ * Time by which a batch delays the response, in milliseconds. Each request of the batch lengthens
+ * each of its steps. If no slot is free, the response also waits for one, or takes one from another
+ * request.
  */
 function batchDelayMs(
   { answerTokens }: PromptCost,
@@ -84,23 +88,26 @@
   return slowerMs + waitMs;
 }
 
-/** The choice of an engine, and the tokens it is expected to read. @public */
+/** The chosen engine, with the expected work of the prompt there. @public */
 export interface EngineChoice<P extends EngineView> {
   readonly view: P;
+  /** Prompt tokens that the engine is expected to prefill. */
   readonly tokens: number;
-  /** Expected time until the prompt is read there, in milliseconds. */
+  /** Expected time until the engine has prefilled the prompt, in milliseconds. */
   readonly prefillMs: number;
 }
 
 /**
- * Chooses the engine that will have answered first. Load patterns:
- * - Bursts of long prompts of which large parts are shared and few are warm yet. An engine's queue is
- *   counted in tokens to read over all instances, since prompts differ by a factor of a hundred;
- *   leaving the home of a shared part costs its reading, so that a prompt moves only when the queue
- *   it escapes is longer.
- * - Many short prompts with long answers that share a small part, as of one workspace. They fill the
- *   slots of its home, slow each other down and push others out; the size of the batch sends them on.
- * @param draw uniform in [0, 1): spreads ties over the instances that decide at the same time
+ * Chooses the engine that is expected to complete the response first. Load patterns:
+ * - Bursts of long prompts with large shared parts, few of which are cached yet. The queue of an
+ *   engine is counted in tokens to prefill over all instances, since prompts differ in length by a
+ *   factor of a hundred. Outside its preferred engines, a prompt's shared part has to be recomputed.
+ *   A prompt therefore moves only if it avoids a queue that is longer than the recomputation.
+ * - Many short prompts with long responses that share a small part, such as those of one workspace.
+ *   They fill the slots of their preferred engine, slow each other down and displace other requests.
+ *   Counting the batch size as a cost moves them to other engines.
+ * @param draw random number, uniform in [0, 1). It breaks ties, so that instances that decide at the
+ *   same time choose different engines.
  * @public
  */
 export function chooseEngine<P extends EngineView>(
--- a/packages/policy/src/lib/placement/retryAfter.ts
+++ b/packages/policy/src/lib/placement/retryAfter.ts
@@ -1,16 +1,16 @@
 import type { Random } from '@berylwood/base';
 
-/** Shortest time after which a place may have come free, in milliseconds: about one short answer. */
+/** Shortest delay before a retry, in milliseconds: a short response takes about as long. */
 const MIN_RETRY_AFTER_MS = 150;
 
-/** Callers wait at most this share of the time they have left. */
+/** Largest fraction of its remaining time that a caller is asked to wait. */
 const MAX_SHARE_OF_TIME_LEFT = 1 / 3;
 
 /**
- * Time after which a refused caller should return, in milliseconds. Load pattern: a burst refuses
- * many callers at the same moment; if all returned together they would be refused together again,
- * so each gets a time drawn from the span in which room will come.
- * @param capacityInMs time in which room for all that were refused is expected to come
+ * Time after which a rejected caller should retry, in milliseconds. Load pattern: in a burst, many
+ * callers are rejected at the same moment. If all retried together, they would be rejected together
+ * again. Each caller therefore gets a random delay within the time in which capacity becomes free.
+ * @param capacityInMs expected time until there is capacity for all rejected callers
  * @param leftMs time that the caller has left
  * @public
  */
