--- a/packages/policy/src/lib/health/CircuitBreaker.test.ts
+++ b/packages/policy/src/lib/health/CircuitBreaker.test.ts
@@ -10,7 +10,7 @@
   return breaker;
 }
 
-test('failures in a row open it; one probe closes it again', () => {
+test('consecutive failures open the breaker and one successful probe closes it', () => {
   const breaker = createOpenBreaker();
   assert.equal(breaker.allows(99), false);
   assert.equal(breaker.allows(100), true);
@@ -20,7 +20,7 @@
   assert.equal(breaker.state, 'closed');
 });
 
-test('a failed probe doubles the time that it stays open', () => {
+test('a failed probe doubles the open time', () => {
   const breaker = createOpenBreaker();
   breaker.allows(100);
   breaker.sent();
@@ -29,7 +29,7 @@
   assert.equal(breaker.allows(300), true);
 });
 
-test('a success between failures keeps it closed', () => {
+test('a success between failures keeps the breaker closed', () => {
   const breaker = new CircuitBreaker({ failureThreshold: 2 });
   breaker.failed(0);
   breaker.succeeded();
--- a/packages/policy/src/lib/health/CircuitBreaker.ts
+++ b/packages/policy/src/lib/health/CircuitBreaker.ts
@@ -2,11 +2,11 @@
 
 /** Options of a circuit breaker. @public */
 export interface BreakerOptions {
-  /** Failures in a row that open the breaker. Default 3. */
+  /** Number of consecutive failures that opens the breaker. Default 3. */
   readonly failureThreshold?: number;
-  /** First time that it stays open, in milliseconds; doubles with each failed probe. Default 1000. */
+  /** Initial open time, in milliseconds. It doubles with each failed probe. Default 1000. */
   readonly openMs?: number;
-  /** Longest time that it stays open, in milliseconds. Default 30000. */
+  /** Maximum open time, in milliseconds. Default 30000. */
   readonly maxOpenMs?: number;
 }
 
@@ -16,7 +16,7 @@
   maxOpenMs: 30_000,
 };
 
-/** Closed lets all through, open none, half open one probe. */
+/** A closed breaker allows all requests, an open one none and a half-open one a single probe. */
 const machine = createMachine({
   types: {} as { events: { type: 'tripped' | 'elapsed' | 'succeeded' | 'failed' } },
   initial: 'closed',
@@ -28,8 +28,8 @@
 });
 
 /**
- * Circuit breaker for one endpoint. Failures in a row open it; after a time that doubles with each
- * failed probe one request is let through, whose outcome closes or reopens it.
+ * Circuit breaker for one endpoint. Consecutive failures open it. After the open time, which doubles
+ * with each failed probe, one request is allowed as a probe. Its outcome closes or reopens the breaker.
  * @public
  */
 export class CircuitBreaker {
@@ -61,12 +61,12 @@
     return this.state === 'halfOpen' && !this.#isProbing;
   }
 
-  /** A request was sent. */
+  /** Records a sent request, which is the probe if the breaker is half open. */
   sent(): void {
     if (this.state === 'halfOpen') this.#isProbing = true;
   }
 
-  /** A request succeeded. */
+  /** Records a successful request. */
   succeeded(): void {
     this.#failures = 0;
     if (this.state !== 'halfOpen') return;
@@ -75,12 +75,12 @@
     this.#send('succeeded');
   }
 
-  /** A request ended without saying anything on the endpoint's health. */
+  /** Records a request that ended without evidence about the endpoint's health. */
   abandoned(): void {
     this.#isProbing = false;
   }
 
-  /** A request failed by the endpoint's fault. */
+  /** Records a request that failed because of the endpoint. */
   failed(now: number): void {
     this.#failures += 1;
     if (this.state === 'halfOpen') {
--- a/packages/policy/src/lib/health/OutlierDetector.test.ts
+++ b/packages/policy/src/lib/health/OutlierDetector.test.ts
@@ -9,7 +9,7 @@
   detector.evaluate(now);
 }
 
-test('ejects a member far above the median, probes it and takes it back', () => {
+test('ejects a member far above the median, probes it and returns it to service', () => {
   const detector = new OutlierDetector<string>({ probeIntervalMs: 1_000 });
   observe(detector, { a: 25, b: 26, c: 24, d: 250 }, 0);
   assert.equal(detector.isEjected('d'), true);
@@ -21,7 +21,7 @@
   assert.equal(detector.isEjected('d'), false);
 });
 
-test('ejects nobody when all become slow together, and never more than the limit', () => {
+test('ejects no member when all become slow together, and never more than the limit', () => {
   const detector = new OutlierDetector<string>({ maxEjected: 0.25 });
   observe(detector, { a: 25, b: 25, c: 25, d: 25 }, 0);
   observe(detector, { a: 250, b: 250, c: 250, d: 250 }, 1);
--- a/packages/policy/src/lib/health/OutlierDetector.ts
+++ b/packages/policy/src/lib/health/OutlierDetector.ts
@@ -1,10 +1,10 @@
 /** Options of an outlier detector. @public */
 export interface OutlierOptions {
-  /** Factor over the median at which a member is ejected. Default 3. */
+  /** Multiple of the median above which a member is ejected. Default 3. */
   readonly ejectFactor?: number;
-  /** Factor over the median below which an ejected member is taken back. Default 1.5. */
+  /** Multiple of the median at or below which an ejected member returns to service. Default 1.5. */
   readonly returnFactor?: number;
-  /** Largest part of the members that is ejected at a time. Default 0.3. */
+  /** Maximum fraction of the members that is ejected at a time. Default 0.3. */
   readonly maxEjected?: number;
   /** Time between probes of an ejected member, in milliseconds. Default 5000. */
   readonly probeIntervalMs?: number;
@@ -20,10 +20,10 @@
 /** Weight of a new observation in the moving average. */
 const SMOOTHING = 0.3;
 
-/** Observations before a member is judged. */
+/** Minimum number of observations before a member is evaluated. */
 const MIN_SAMPLES = 5;
 
-/** Members with enough observations before anyone is judged: below it there is no norm. */
+/** Minimum number of members with enough observations. The median of fewer is not meaningful. */
 const MIN_MEMBERS = 3;
 
 interface Member {
@@ -34,9 +34,10 @@
 }
 
 /**
- * Finds members whose cost, such as milliseconds per token, is far above the median of the group.
- * The measure is relative: when all become slow together nobody is ejected. Ejected members are
- * probed now and then, and taken back by hysteresis.
+ * Ejects members whose cost, such as milliseconds per token, is far above the median of the group.
+ * The criterion is relative, so no member is ejected when all become slow together. Ejected members
+ * are probed at intervals and return to service at a lower threshold than the one for ejection
+ * (hysteresis).
  * @public
  */
 export class OutlierDetector<Key> {
@@ -48,7 +49,7 @@
     this.#options = { ...defaults, ...options };
   }
 
-  /** Takes in one observed cost of a member, in any unit that is the same for all. */
+  /** Records an observed cost of a member. All members must use the same unit. */
   observe(key: Key, cost: number, now: number): void {
     const member = this.#members.get(key);
     if (!member) {
@@ -63,7 +64,7 @@
     this.#members.delete(key);
   }
 
-  /** Judges all members anew; O(n log n), so it is called a few times a second at most. */
+  /** Evaluates all members. Called at most a few times per second, since it takes O(n log n). */
   evaluate(now: number): void {
     const evaluated = [...this.#members.values()].filter(({ samples }) => samples >= MIN_SAMPLES);
     if (evaluated.length < MIN_MEMBERS) return;
@@ -91,13 +92,13 @@
     return this.#members.get(key)?.isEjected ?? false;
   }
 
-  /** Whether an ejected member should get one request, to see whether it has recovered. */
+  /** Whether an ejected member should get one request as a probe for recovery. */
   isProbeDue(key: Key, now: number): boolean {
     const member = this.#members.get(key);
     return member !== undefined && member.isEjected && now >= member.probeAt;
   }
 
-  /** A probe was sent. */
+  /** Records a sent probe and schedules the next one. */
   probed(key: Key, now: number): void {
     const member = this.#members.get(key);
     if (member) member.probeAt = now + this.#options.probeIntervalMs;
--- a/packages/policy/src/lib/health/Quarantine.test.ts
+++ b/packages/policy/src/lib/health/Quarantine.test.ts
@@ -8,7 +8,7 @@
 const endpoints: EndpointId[] = ['e1', 'e2', 'e3', 'e4'].map((name) => asId(name));
 const [e1, e2] = endpoints as [EndpointId, EndpointId];
 
-test('two crashes quarantine a fingerprint, for a time', () => {
+test('two crashes quarantine a fingerprint for a limited time', () => {
   const quarantine = new Quarantine({ holdMs: 1_000 });
   quarantine.sent('poison', e1, 0);
   quarantine.crashed(e1, ['poison', 'innocent'], 0);
@@ -21,7 +21,7 @@
   assert.equal(quarantine.stateOf('poison', 1_010), 'unknown');
 });
 
-test('one whole run clears an innocent suspect', () => {
+test('one run to completion clears an innocent suspect', () => {
   const quarantine = new Quarantine();
   quarantine.crashed(e1, ['innocent'], 0);
   quarantine.sent('innocent', e2, 1);
@@ -29,7 +29,7 @@
   assert.equal(quarantine.stateOf('innocent', 2), 'cleared');
 });
 
-test('a suspicion of another process counts, and an older one does not', () => {
+test('crashes reported by another process are merged unless they have expired', () => {
   const quarantine = new Quarantine();
   quarantine.mergeRemoteCrashes('poison', 2, 5_000, 0);
   assert.equal(quarantine.holdMs('poison', 0), 5_000);
@@ -37,7 +37,7 @@
   assert.equal(quarantine.stateOf('other', 10), 'unknown');
 });
 
-test('a full table takes no unknown fingerprint', () => {
+test('a full table accepts no unknown fingerprint until an entry expires', () => {
   const quarantine = new Quarantine({ capacity: 1 });
   quarantine.crashed(e1, ['suspect'], 0);
   assert.equal(quarantine.mayRun('unknown', e1, 0), false);
--- a/packages/policy/src/lib/health/Quarantine.ts
+++ b/packages/policy/src/lib/health/Quarantine.ts
@@ -2,15 +2,15 @@
 
 /** Options of a quarantine. @public */
 export interface QuarantineOptions {
-  /** Time that a fingerprint is held back after its second crash, in ms. Default 600000. */
+  /** Duration of a quarantine, in milliseconds. Default 600000. */
   readonly holdMs?: number;
-  /** Time after which a suspicion without another crash lapses, in ms. Default 600000. */
+  /** Time after which a suspicion expires without another crash, in milliseconds. Default 600000. */
   readonly suspectMs?: number;
-  /** Fingerprints remembered. Default 10000. */
+  /** Maximum number of fingerprints in the table. Default 10000. */
   readonly capacity?: number;
 }
 
-/** What is known of a fingerprint. @public */
+/** State of a fingerprint. @public */
 export type QuarantineState = 'unknown' | 'cleared' | 'suspect' | 'quarantined';
 
 const defaults: Required<QuarantineOptions> = {
@@ -19,7 +19,7 @@
   capacity: 10_000,
 };
 
-/** Crashes that quarantine a fingerprint; also the most endpoints that it may ever crash. */
+/** Crashes that quarantine a fingerprint, and the maximum number of endpoints that it can crash. */
 const MAX_CRASHES = 2;
 
 interface FingerprintRecord {
@@ -27,15 +27,15 @@
   crashes: number;
   /** End of the suspicion or quarantine, in milliseconds. */
   until: number;
-  /** Attempts in flight by endpoint. */
+  /** Number of attempts in flight, by endpoint. */
   readonly running: Map<EndpointId, number>;
 }
 
 /**
- * Holds back requests that crash endpoints, by a fingerprint of their content. Requests in flight at
- * a crash become suspects. A suspect's second crash quarantines it; one whole run clears it. A
- * fingerprint that has never run whole is in flight at two endpoints at most, one less for each
- * crash, so that it can crash no more than two endpoints.
+ * Quarantines requests that crash endpoints, identified by a fingerprint of their content. Requests
+ * in flight at an endpoint when it crashes become suspects. A second crash quarantines a suspect, and
+ * one run to completion clears it. Until a fingerprint has run to completion, it may be in flight at
+ * two endpoints at most, one fewer for each crash. It can therefore crash no more than two endpoints.
  * @public
  */
 export class Quarantine {
@@ -47,7 +47,7 @@
     this.#options = { ...defaults, ...options };
   }
 
-  /** Fingerprints remembered. */
+  /** Number of fingerprints in the table. */
   get size(): number {
     return this.#records.size;
   }
@@ -65,7 +65,7 @@
     return known.quarantineState;
   }
 
-  /** Time left of a quarantine, in milliseconds; 0 when there is none. */
+  /** Remaining time of the quarantine, in milliseconds; 0 if the fingerprint is not quarantined. */
   holdMs(fingerprint: string, now: number): number {
     if (this.stateOf(fingerprint, now) !== 'quarantined') return 0;
     return (this.#records.get(fingerprint)?.until ?? now) - now;
@@ -82,13 +82,13 @@
     return known.crashes + known.running.size < MAX_CRASHES;
   }
 
-  /** An attempt was sent to the endpoint. */
+  /** Records that an attempt was sent to the endpoint. */
   sent(fingerprint: string, endpoint: EndpointId, now: number): void {
     const { running } = this.#recordOf(fingerprint, now);
     running.set(endpoint, (running.get(endpoint) ?? 0) + 1);
   }
 
-  /** An attempt has ended without a crash; `isWhole` when the endpoint has run it to its end. */
+  /** Records an attempt that ended without a crash; `isComplete` if it has run to completion. */
   ended(fingerprint: string, endpoint: EndpointId, isComplete: boolean): void {
     const known = this.#records.get(fingerprint);
     if (!known) return;
@@ -101,7 +101,7 @@
     }
   }
 
-  /** The endpoint has crashed while these were in flight there. */
+  /** Records a crash of the endpoint while these fingerprints were in flight there. */
   crashed(endpoint: EndpointId, fingerprints: readonly string[], now: number): void {
     for (const fingerprint of new Set(fingerprints)) {
       const known = this.#recordOf(fingerprint, now);
@@ -110,7 +110,10 @@
     }
   }
 
-  /** Another process reports crashes of the fingerprint, until a time of this process's clock. */
+  /**
+   * Merges crashes of the fingerprint that another process has reported.
+   * @param until end of the suspicion or quarantine, on the clock of this process
+   */
   mergeRemoteCrashes(fingerprint: string, crashes: number, until: number, now: number): void {
     if (until <= now) return;
     const known = this.#recordOf(fingerprint, now);
@@ -140,7 +143,10 @@
     return created;
   }
 
-  /** Makes room by forgetting what has run whole or has lapsed; false when nothing has. */
+  /**
+   * Whether the table has room for another fingerprint. A full table first evicts a fingerprint that
+   * is not in flight and has been cleared or has expired.
+   */
   #hasRoom(now: number): boolean {
     if (this.#records.size < this.#options.capacity) return true;
     for (const [fingerprint, { quarantineState, running, until }] of this.#records) {
