--- a/packages/policy/bench/decisions.ts
+++ b/packages/policy/bench/decisions.ts
@@ -1,6 +1,7 @@
 /**
- * Time of a scheduling decision and of a routing decision at the size of the plan: 350 endpoints
- * and 10,000 waiting requests. The last line is one JSON object, in microseconds.
+ * Measures the time of a scheduling decision and of a routing decision at the planned scale of 350
+ * endpoints and 10,000 waiting requests. Prints one JSON object as the last line, with times in
+ * microseconds.
  */
 import { asId, Random } from '@berylwood/base';
 import type { EndpointId, WorkspaceId } from '@berylwood/schema';
@@ -31,7 +32,7 @@
   classNames.map((name) => [name, createClass({ maxWaitMs: 600_000 })]),
 );
 
-/** Fresh strings, as from a digest: flat, and not yet hashed by the engine. */
+/** Creates new strings like those of a real digest: flat, and not yet hashed by the JS engine. */
 function createDigests(workspace: number, conversation: number): string[] {
   return Array.from({ length: PROMPT_BLOCKS }, (_, i) =>
     Buffer.from(`${workspace}-${conversation}-${i}`.padStart(16, '0')).toString('latin1'),
@@ -71,11 +72,11 @@
 interface SchedulingTimings {
   readonly ending: Timings;
   readonly arrival: Timings;
-  /** Includes the routing of what is sent. */
+  /** Includes the routing of the dispatched requests. */
   readonly decision: Timings;
 }
 
-/** Figures of the times after the warm-up. */
+/** Statistics of the times after the warm-up. */
 function summarize(all: readonly number[]): Timings {
   const times = all.slice(WARM_UP);
   const sorted = [...times].sort((a, b) => a - b);
@@ -85,7 +86,7 @@
   return { meanUs, medianUs, p99Us: round(sorted[Math.floor(0.99 * sorted.length)] as number) };
 }
 
-/** Endings come one at a time; each frees a slot, and the decision fills it from the queue. */
+/** Ends one request at a time, which frees a slot, and measures the decision that refills it. */
 function measureScheduling(): SchedulingTimings {
   const scheduler = new FairScheduler({ seed: 1 });
   scheduler.configure(createConfiguration({ classes }));
@@ -115,7 +116,7 @@
     const decidedAt = performance.now();
     times.ending.push((endedAt - startedAt) * US_PER_MS);
     times.arrival.push((offeredAt - endedAt) * US_PER_MS);
-    // One call may decide on several requests: each counts with its part of the time.
+    // One call may decide on several requests. The time is divided evenly between them.
     const decided = Math.max(1, decisions.length);
     times.decision.push(((decidedAt - offeredAt) * US_PER_MS) / decided);
     recordDispatches(decisions);
@@ -127,7 +128,7 @@
   };
 }
 
-/** One choice of an endpoint with the accounting of the send. */
+/** Measures the choice of an endpoint together with the accounting of the sent request. */
 function measureRouting(): Timings {
   const router = new Router({ seed: 1 });
   router.setCandidates(createCandidates(ENDPOINTS, { slots: SLOTS }), 0);
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,4 +1,4 @@
-/** Pure decisions: time and randomness are arguments, nothing here does I/O. */
+/** Pure decision logic. Time and randomness are passed as arguments, and nothing here does I/O. */
 export type {
   Candidate,
   Decision,
--- a/packages/policy/src/lib/scaling/RolloutPolicy.test.ts
+++ b/packages/policy/src/lib/scaling/RolloutPolicy.test.ts
@@ -18,7 +18,7 @@
   loadBytes: 10 * GIGABYTE,
 });
 
-test('rolls out within the store rate, keeps the capacity, one data centre at a time', () => {
+test('rolls out one data centre at a time, within the store rate, and keeps the capacity', () => {
   const policy = new RolloutPolicy({ storeBytesPerSecond: GIGABYTE, minimumServing: 0.75 });
   let endpoints = Array.from({ length: 9 }, (_, i) => createEndpoint(i));
   const loadedAt: number[] = [];
@@ -48,7 +48,7 @@
   );
 });
 
-test('leaves alone what has the wanted setup', () => {
+test('makes no decision for an endpoint that has the desired setup', () => {
   const policy = new RolloutPolicy({ storeBytesPerSecond: GIGABYTE });
   assert.deepEqual(policy.decide([{ ...createEndpoint(1), setup: desired }], 0), []);
 });
--- a/packages/policy/src/lib/scaling/RolloutPolicy.ts
+++ b/packages/policy/src/lib/scaling/RolloutPolicy.ts
@@ -1,10 +1,10 @@
 import type { DataCentreId, EndpointId } from '@berylwood/schema';
 
-/** What an engine serves: a change of any part is rolled out. @public */
+/** What an engine serves. A change of any field is rolled out. @public */
 export interface EngineSetup {
   readonly model: string;
   readonly version: string;
-  /** Adapters, in order of name. */
+  /** Adapters, sorted by name. */
   readonly adapters: readonly string[];
   readonly role: 'both' | 'prefill' | 'decode';
 }
@@ -16,40 +16,41 @@
   readonly setup: EngineSetup;
   readonly desired: EngineSetup;
   readonly state: 'serving' | 'draining' | 'loading';
-  /** Attempts that run or wait there. */
+  /** Number of attempts that run or wait there. */
   readonly load: number;
-  /** Bytes that the weight store must deliver for the change; 0 for a change of role. */
+  /** Bytes that the change loads from the weight store; 0 for a change of role. */
   readonly loadBytes: number;
 }
 
-/** What a rollout wants done. @public */
+/** A rollout action to execute. @public */
 export type RolloutDecision =
   | { readonly type: 'drain'; readonly endpoint: EndpointId }
-  /** Nothing runs there: load the wanted setup, then serve again. */
+  /** The endpoint has drained: load the desired setup, then resume serving. */
   | { readonly type: 'load'; readonly endpoint: EndpointId; readonly setup: EngineSetup };
 
 /** Options of a rollout. @public */
 export interface RolloutOptions {
-  /** Rate limit of the weight store, in bytes a second. */
+  /** Rate limit of the weight store, in bytes per second. */
   readonly storeBytesPerSecond: number;
-  /** Part of the endpoints that goes on serving. Default 0.8. */
+  /** Fraction of the endpoints that must keep serving. Default 0.8. */
   readonly minimumServing?: number;
 }
 
 const DEFAULT_MINIMUM_SERVING = 0.8;
 
-/** Allows for rounding of a product of binary fractions. */
+/** Tolerance for the rounding error of a floating-point product. */
 const EPSILON = 1e-9;
 
 /**
- * Changes models, versions, adapters and roles in steps: one data centre at a time, no more
- * endpoints out of service than allowed, and loads no faster than the weight store delivers.
+ * Rolls out changes of models, versions, adapters and roles in steps: in one data centre at a time,
+ * with no more endpoints out of service than allowed, and without exceeding the rate limit of the
+ * weight store.
  * @public
  */
 export class RolloutPolicy {
   readonly #options: Required<RolloutOptions>;
 
-  /** Time from which the weight store is free, in milliseconds. */
+  /** Time at which the weight store has delivered the current load, in milliseconds. */
   #storeFreeAt = -Infinity;
 
   constructor(options: RolloutOptions) {
@@ -61,7 +62,7 @@
     return [...this.#load(endpoints, now), ...this.#drain(endpoints)];
   }
 
-  /** Starts one load when the weight store has delivered the one before. */
+  /** Loads drained endpoints one after the other. Changes without bytes to load do not wait. */
   #load(endpoints: readonly RolloutEndpoint[], now: number): RolloutDecision[] {
     const ready = endpoints.filter(({ state, load }) => state === 'draining' && load === 0);
     const decisions: RolloutDecision[] = [];
--- a/packages/policy/src/lib/scaling/ScalingPolicy.test.ts
+++ b/packages/policy/src/lib/scaling/ScalingPolicy.test.ts
@@ -23,7 +23,7 @@
   ...fields,
 });
 
-/** Runs the policy on made-up endpoints and returns those that are left, with the decisions made. */
+/** Runs the policy on simulated endpoints. Returns the remaining ones and the decisions made. */
 function run(
   demandAt: (now: number) => readonly ClassDemand[],
   endMs: number,
@@ -73,8 +73,8 @@
   return { endpoints: [...endpoints.values()], log, peak: peak.active };
 }
 
-test('starts what the missed service is worth, spread over the zones', () => {
-  // 2,000 tokens a second need 3 endpoints at 700 each; each serves work of 50 an hour.
+test('starts as many endpoints as the service is worth, spread over the zones', () => {
+  // 2,000 tokens per second need 3 endpoints at 700 each. Each serves requests worth 50 per hour.
   const { endpoints, log } = run(() => [createDemand({ requestsPerSecond: 4 })], 120_000);
   assert.equal(log.includes('drain'), false);
   const zones = new Set(endpoints.map(({ dataCentre }) => dataCentre));
@@ -82,7 +82,7 @@
   assert.ok(endpoints.length >= 4, 'the loss of a zone leaves enough for the top tier');
 });
 
-test('starts nothing for a lower tier whose service is worth less than the price', () => {
+test('starts no endpoint for a lower tier whose service is worth less than the price', () => {
   const demands = [
     createDemand({ class: 'guidance', tier: 1, requestsPerSecond: 0.1, value: 1 }),
     createDemand({ class: 'letter', tier: 5, requestsPerSecond: 5, value: 0.000001 }),
@@ -91,7 +91,7 @@
   assert.equal(endpoints.length, 2);
 });
 
-test('drains before it stops, after the minimum running time, and keeps the minimum', () => {
+test('drains an endpoint after the minimum running time before stopping it, and keeps the minimum', () => {
   const busyUntil = 300_000;
   const demandAt = (now: number) => [createDemand({ requestsPerSecond: now < busyUntil ? 4 : 0 })];
   const { endpoints, log, peak } = run(demandAt, 3_600_000, createZones(10, 1));
@@ -102,7 +102,7 @@
   assert.equal(drains, log.filter((type) => type === 'stop').length);
 });
 
-test('does not switch on every small change', () => {
+test('does not start or drain endpoints on every small change of demand', () => {
   const wave = (now: number) => [
     createDemand({ requestsPerSecond: 4 + 0.4 * Math.sin(now / 20_000) }),
   ];
--- a/packages/policy/src/lib/scaling/ScalingPolicy.ts
+++ b/packages/policy/src/lib/scaling/ScalingPolicy.ts
@@ -21,26 +21,26 @@
   stopRatio: 0.8,
 };
 
-/** Memory of one model. */
+/** State kept for one model between decisions. */
 interface ModelState {
-  /** Requests a second by class. */
+  /** Trends of the request rate, by class. */
   readonly trends: Map<string, Trend>;
-  /** Since when more, or less, has been wanted; undefined when it is not. */
+  /** Time since which there have been too few, or too many, endpoints; undefined if there are not. */
   shortageSince: number | undefined;
   excessSince: number | undefined;
 }
 
-/** How many endpoints are wanted, with hysteresis between the two numbers. */
+/** Bounds on the number of endpoints. The gap between them provides hysteresis. */
 interface TargetRange {
   readonly atLeast: number;
   readonly atMost: number;
 }
 
 /**
- * Starts an endpoint while the service that would be missed without it is worth more than its
- * price, and drains one when it is worth clearly less. The top tier must fit into what is left when
- * the largest zone is lost. Demand is forecast over the start-up time; hysteresis in time and worth
- * and a minimum running time keep it from switching on every change.
+ * Starts an endpoint if the service that would be lost without it is worth more than its price, and
+ * drains one if that service is worth clearly less. The endpoints that remain after the loss of the
+ * largest zone must have enough capacity for the top tier. Demand is forecast over the start-up time.
+ * Hysteresis in time and value, and a minimum running time, prevent a reaction to every change.
  * @public
  */
 export class ScalingPolicy {
@@ -52,7 +52,7 @@
     this.#options = { ...defaults, ...options };
   }
 
-  /** Decisions for one model; called every few seconds. */
+  /** Decisions for one model. Called every few seconds. */
   decide(input: ScalingInput, now: number): ScalingDecision[] {
     const state = this.#stateOf(input.model);
     const demands = this.#forecast(state, input.demands, now);
@@ -65,7 +65,8 @@
     const topTierCount = countForTopTier(demands, capacity);
     const lacksRedundancy = input.zones.length > 1 && !survivesZoneLoss(active, topTierCount);
     const hasShortage = active.length < range.atLeast || lacksRedundancy;
-    // What could be stopped must stay so for the whole time, also as to the loss of a zone.
+    // An endpoint counts as excess only if the rest survives the loss of a zone. There must be an
+    // excess throughout `stopAfterMs` before one is drained.
     const excess =
       active.length > range.atMost ? this.#findExcess(input, active, topTierCount, now) : undefined;
     state.shortageSince = hasShortage ? (state.shortageSince ?? now) : undefined;
@@ -77,7 +78,7 @@
     return [...stops, ...starts, { type: 'drain', endpoint: excess.endpoint }];
   }
 
-  /** Brings draining endpoints back first, then starts new ones, as many as are missing. */
+  /** Adds the missing endpoints: resumes draining ones first, then starts new ones. */
   #start(
     input: ScalingInput,
     active: readonly ScaledEndpoint[],
@@ -109,7 +110,7 @@
     }
   }
 
-  /** An endpoint that has run long enough and can be spared. */
+  /** An endpoint that has run for the minimum time and is not needed. */
   #findExcess(
     input: ScalingInput,
     active: readonly ScaledEndpoint[],
@@ -128,7 +129,7 @@
     );
   }
 
-  /** Numbers of endpoints at which one more, or one less, is no longer worth while. */
+  /** Number of endpoints that are worth starting, and number that are worth keeping. */
   #targetRange(
     { zones, tokensPerSecond }: ScalingInput,
     demands: readonly ClassDemand[],
@@ -166,12 +167,12 @@
   }
 }
 
-/** An endpoint that is about to be ordered. */
+/** Placeholder for an endpoint whose start is being decided. */
 function createPlannedEndpoint(dataCentre: DataCentreId, now: number): ScaledEndpoint {
   return { endpoint: asId('planned'), dataCentre, state: 'starting', startedAt: now, load: 0 };
 }
 
-/** Endpoints that the top tier alone needs. */
+/** Number of endpoints that the top tier alone needs. */
 function countForTopTier(demands: readonly ClassDemand[], capacity: number): number {
   const active = demands.filter(({ requestsPerSecond }) => requestsPerSecond > 0);
   const top = Math.min(...active.map(({ tier }) => tier));
@@ -181,7 +182,7 @@
   return capacity > 0 ? Math.ceil(tokens / capacity) : 0;
 }
 
-/** Whether enough endpoints are left when the zone with the most of them is lost. */
+/** Whether enough endpoints remain after the loss of the zone with the most endpoints. */
 function survivesZoneLoss(active: readonly ScaledEndpoint[], needed: number): boolean {
   const counts = new Map<DataCentreId, number>();
   for (const { dataCentre } of active) counts.set(dataCentre, (counts.get(dataCentre) ?? 0) + 1);
--- a/packages/policy/src/lib/scaling/ScalingTypes.ts
+++ b/packages/policy/src/lib/scaling/ScalingTypes.ts
@@ -4,59 +4,59 @@
 export interface ClassDemand {
   readonly class: string;
   readonly tier: number;
-  /** Requests offered a second, served or not. */
+  /** Rate of arriving requests, whether served or not. */
   readonly requestsPerSecond: number;
-  /** Mean work of a request, in tokens of prompt and answer. */
+  /** Mean work of a request, in tokens of prompt and response. */
   readonly tokensPerRequest: number;
-  /** Worth of one request answered within its targets, in units of money. */
+  /** Value of one request that is served within its targets, in units of money. */
   readonly value: number;
 }
 
-/** An endpoint as scaling sees it. @public */
+/** State of an endpoint that scaling takes into account. @public */
 export interface ScaledEndpoint {
   readonly endpoint: EndpointId;
   readonly dataCentre: DataCentreId;
   readonly state: 'starting' | 'running' | 'draining';
-  /** Time at which it was ordered to start, in milliseconds. */
+  /** Time at which its start was decided, in milliseconds. */
   readonly startedAt: number;
-  /** Attempts that run or wait there. */
+  /** Number of attempts that run or wait there. */
   readonly load: number;
 }
 
-/** What scaling of one model is decided from. @public */
+/** Input of the scaling decisions for one model. @public */
 export interface ScalingInput {
   readonly model: string;
-  /** Zones in which the model may run, with their price and bounds. */
+  /** Zones in which the model may run, with their price and their bounds on endpoints. */
   readonly zones: readonly Zone[];
   readonly endpoints: readonly ScaledEndpoint[];
   readonly demands: readonly ClassDemand[];
-  /** Work that one endpoint does a second at full load, in tokens. */
+  /** Work that one endpoint does at full load, in tokens per second. */
   readonly tokensPerSecond: number;
 }
 
-/** What scaling wants done. @public */
+/** A scaling action to execute. @public */
 export type ScalingDecision =
   | { readonly type: 'start'; readonly model: string; readonly dataCentre: DataCentreId }
   | { readonly type: 'drain'; readonly endpoint: EndpointId }
-  /** It has drained: nothing runs or waits there. */
+  /** The endpoint has drained: nothing runs or waits there. */
   | { readonly type: 'stop'; readonly endpoint: EndpointId }
-  /** It is needed again before it has drained. */
+  /** The endpoint is needed again before it has drained. */
   | { readonly type: 'resume'; readonly endpoint: EndpointId };
 
 /** Options of a scaling policy. @public */
 export interface ScalingOptions {
-  /** Part of an endpoint's capacity that is planned for; the rest takes up bursts. Default 0.7. */
+  /** Fraction of an endpoint's capacity to plan for; the rest absorbs bursts. Default 0.7. */
   readonly utilization?: number;
-  /** Time for which more must be worth its price before it is started, in ms. Default 5000. */
+  /** Time for which more endpoints must be needed before one is started, in ms. Default 5000. */
   readonly startAfterMs?: number;
-  /** Time for which less must do before something is stopped, in ms. Default 180000. */
+  /** Time for which fewer endpoints must suffice before one is drained, in ms. Default 180000. */
   readonly stopAfterMs?: number;
-  /** Shortest time that an endpoint runs, in milliseconds. Default 600000. */
+  /** Minimum running time of an endpoint, in milliseconds. Default 600000. */
   readonly minimumRunMs?: number;
-  /** Time from the order to the first request, in milliseconds. Default 60000. */
+  /** Time from the decision to start until the first request, in milliseconds. Default 60000. */
   readonly startUpMs?: number;
-  /** Worth over price at which one more endpoint is started. Default 1.2. */
+  /** Ratio of value to price above which one more endpoint is started. Default 1.2. */
   readonly startRatio?: number;
-  /** Worth over price at which one is stopped. Default 0.8. */
+  /** Ratio of value to price at or below which an endpoint is drained. Default 0.8. */
   readonly stopRatio?: number;
 }
--- a/packages/policy/src/lib/scaling/Trend.ts
+++ b/packages/policy/src/lib/scaling/Trend.ts
@@ -4,7 +4,7 @@
 /** Time over which the slope is averaged, in milliseconds. */
 const SLOPE_MS = 60_000;
 
-/** Level and slope of a figure by double exponential smoothing, for a forecast. @internal */
+/** Forecasts a quantity from its level and slope, by double exponential smoothing. @internal */
 export class Trend {
   #level: number | undefined;
 
@@ -28,7 +28,7 @@
     this.#observedAt = now;
   }
 
-  /** Expected figure after a time in milliseconds; a fall is not counted on. */
+  /** Expected value after a time in milliseconds. A negative slope is ignored. */
   forecast(horizonMs: number): number {
     return Math.max(0, (this.#level ?? 0) + Math.max(0, this.#slope) * horizonMs);
   }
--- a/packages/policy/src/lib/scaling/marginalValue.ts
+++ b/packages/policy/src/lib/scaling/marginalValue.ts
@@ -2,9 +2,9 @@
 
 const SECONDS_PER_HOUR = 3_600;
 
-/** Worth of the service that a capacity gives, in units of money an hour. @internal */
+/** Value of the demand that a capacity serves, in units of money per hour. @internal */
 function servedValue(demands: readonly ClassDemand[], tokensPerSecond: number): number {
-  // By tier, as the schedulers serve it; by worth per token within a tier.
+  // By tier, as in the schedulers. Within a tier, by value per token.
   const ordered = [...demands].sort(
     (a, b) => a.tier - b.tier || valuePerToken(b) - valuePerToken(a),
   );
@@ -19,8 +19,9 @@
 }
 
 /**
- * Worth an hour of the last one of a number of endpoints, each with a capacity in tokens a second:
- * the service that would be missed without it.
+ * Value per hour of the last of a number of endpoints: the value of the service that would be lost
+ * without it.
+ * @param tokensPerSecond capacity of each endpoint
  * @internal
  */
 export function marginalValue(
@@ -32,7 +33,7 @@
   return servedValue(demands, endpoints * tokensPerSecond) - without;
 }
 
-/** Work asked for a second, in tokens. @internal */
+/** Demanded work, in tokens per second. @internal */
 export function tokenDemand({ requestsPerSecond, tokensPerRequest }: ClassDemand): number {
   return requestsPerSecond * tokensPerRequest;
 }
--- a/packages/policy/src/lib/scaling/selectZone.ts
+++ b/packages/policy/src/lib/scaling/selectZone.ts
@@ -2,8 +2,8 @@
 import type { ScaledEndpoint } from './ScalingTypes';
 
 /**
- * Zone to start an endpoint in: with room, the one with the fewest endpoints, so that the loss of
- * any zone costs little; the cheaper one when they are equal.
+ * Zone in which to start an endpoint: of the zones below their maximum, the one with the fewest
+ * endpoints, so that the loss of any zone costs little. Ties are resolved by the lower price.
  * @internal
  */
 export function selectZoneToStart(
@@ -17,8 +17,8 @@
 }
 
 /**
- * Endpoint to drain: of the dearest zone above its minimum, and there of the least load, provided
- * that what is left is still acceptable.
+ * Endpoint to drain: in the most expensive zone above its minimum, the endpoint with the lowest load
+ * whose removal leaves an acceptable set of endpoints.
  * @internal
  */
 export function selectEndpointToDrain(
