--- a/packages/policy/src/lib/placement/chooseEngine.ts
+++ b/packages/policy/src/lib/placement/chooseEngine.ts
@@ -60,7 +60,7 @@
   cacheHitProbabilities: [1, 0.5, 0.25],
   recomputeWeight: 150,
   batchWeight: 1,
-  // A request occupies one of 64 slots for 1.5 s on average.
+  // A request occupies one of 64 slots for 1.5 s on average, so a slot is released about this often.
   slotReleaseMs: 25,
   remoteCostMs: 0,
 };
--- a/packages/policy/src/lib/routing/BlockTable.ts
+++ b/packages/policy/src/lib/routing/BlockTable.ts
@@ -3,7 +3,7 @@
 /** Entries per set; the least recently used one is replaced. */
 const WAYS = 4;
 
-/** Most endpoints that are stored for one block. */
+/** Maximum number of endpoints stored per block. */
 const ENDPOINTS_PER_BLOCK = 4;
 
 /** 32-bit words per entry. They are contiguous so that a lookup reads few cache lines. */
