--- a/packages/gateway/src/lib/codes.ts
+++ b/packages/gateway/src/lib/codes.ts
@@ -84,14 +84,14 @@
     status: 502,
     notRun: 'unknown',
     meaning: 'A call to the platform failed.',
-    remedy: 'None: it is repeated.',
+    remedy: 'None: the call is retried.',
   },
   fenceOutdated: {
     number: 9013,
     status: 409,
     notRun: true,
     meaning: 'The platform has seen a higher fence for this duty.',
-    remedy: 'None: the present leader of the registry takes over.',
+    remedy: 'None: the current leader of the registry takes over.',
   },
   overloaded: {
     number: 9014,
--- a/packages/gateway/src/lib/events.ts
+++ b/packages/gateway/src/lib/events.ts
@@ -5,25 +5,26 @@
   requestServed: {
     number: 9000,
     level: 'info',
-    meaning: 'A request got the complete answer of an endpoint.',
+    meaning: 'An endpoint served a request with a complete response.',
     action: 'none',
   },
   requestFailed: {
     number: 9001,
     level: 'warn',
-    meaning: 'A request got a failure or ended without a complete answer.',
-    action: 'Follow the lines of the same request id; see OPERATIONS.md.',
+    meaning: 'A request failed or ended without a complete response.',
+    action: 'Search the log for the request id; see OPERATIONS.md.',
   },
   attemptFailed: {
     number: 9002,
     level: 'warn',
-    meaning: 'An endpoint refused a request or broke off its answer.',
-    action: 'Look at the endpoint if it repeats.',
+    meaning:
+      'An attempt at an endpoint failed: no connection, a rejection, or a failed or incomplete response.',
+    action: 'Check the endpoint if this happens repeatedly.',
   },
   linesLeftOut: {
     number: 9003,
     level: 'info',
-    meaning: 'Lines of served requests were left out to bound the volume of the log.',
+    meaning: 'Log lines of served requests were omitted to limit the volume of the log.',
     action: 'none',
   },
   listRead: {
@@ -35,14 +36,15 @@
   listFailed: {
     number: 9011,
     level: 'warn',
-    meaning: 'The list of endpoints could not be read; the last one is kept.',
-    action: 'Look at the platform if it lasts.',
+    meaning:
+      'The list of endpoints could not be read and the last one is kept, or some entries of it are invalid.',
+    action: 'Check the platform if this persists.',
   },
   endpointSpared: {
     number: 9012,
     level: 'warn',
-    meaning: 'An endpoint gets no requests for a while, after failures.',
-    action: 'Look at the endpoint if it repeats.',
+    meaning: 'An endpoint was ejected after failures and receives no requests for a time.',
+    action: 'Check the endpoint if this happens repeatedly.',
   },
   tableReplaced: {
     number: 9013,
@@ -53,43 +55,43 @@
   tableRefused: {
     number: 9014,
     level: 'error',
-    meaning: 'A committed configuration can not be decoded; the one before stays in force.',
-    action: 'Report it: replicas of different versions are at work.',
+    meaning: 'A committed configuration cannot be decoded; the previous one stays in force.',
+    action: 'Report it: replicas run different versions of the software.',
   },
   operatorAnswered: {
     number: 9020,
     level: 'info',
-    meaning: 'A call of an operator was answered.',
+    meaning: 'An operator call was answered.',
     action: 'none',
   },
   usageReported: {
     number: 9021,
     level: 'info',
-    meaning: 'The platform has taken the report of a usage window.',
+    meaning: 'The platform accepted the report of a usage window.',
     action: 'none',
   },
   usageFailed: {
     number: 9022,
     level: 'warn',
-    meaning: 'A report of a usage window was not taken; it is sent again.',
-    action: 'Look at the platform if it lasts.',
+    meaning: 'The platform did not accept the report of a usage window; it is sent again.',
+    action: 'Check the platform if this persists.',
   },
   readinessChanged: {
     number: 9030,
     level: 'info',
-    meaning: 'The instance has begun or ceased to be ready for new connections.',
+    meaning: 'The instance became ready for new connections, or is no longer ready.',
     action: 'none',
   },
   settingsReloaded: {
     number: 9031,
     level: 'info',
-    meaning: 'The settings file was read again.',
+    meaning: 'The settings file was reloaded.',
     action: 'none',
   },
   handOverFailed: {
     number: 9032,
     level: 'warn',
-    meaning: 'The leadership of the registry could not be handed over before a stop.',
-    action: 'None: an election follows.',
+    meaning: 'Leadership of the registry could not be transferred before the stop.',
+    action: 'None: the replicas elect a new leader.',
   },
 });
