--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** Forwards requests of callers to endpoints over plain HTTP, by a replicated configuration. */
+/** Routes callers' requests to endpoints over plain HTTP by a replicated configuration. */
 export { Gateway, type GatewayOptions } from './lib/Gateway';
 export * from './lib/ids';
 export * from './lib/RoutingConfiguration';
--- a/packages/gateway/src/lib/GatewayContext.ts
+++ b/packages/gateway/src/lib/GatewayContext.ts
@@ -7,7 +7,7 @@
 import type { WorkspaceName } from './ids';
 import type { Wire } from './Wire';
 
-/** What all requests of a gateway share. @internal */
+/** Dependencies and state shared by all requests of a gateway. @internal */
 export interface GatewayContext {
   readonly wire: Wire;
   readonly timer: Timer;
@@ -21,10 +21,10 @@
   readonly startGate: StartGate;
   /** The routing table in force, if any. */
   readonly table: () => RoutingTable | undefined;
-  /** Whether connections are closed after their present answer. */
+  /** Whether connections are closed after the current response. */
   readonly isStopping: () => boolean;
-  /** Whether requests that arrive now are refused, since the process ends soon. */
+  /** Whether new requests are rejected because the process is about to exit. */
   readonly isRejecting: () => boolean;
-  /** Counts a request that an endpoint has begun to run. */
+  /** Counts a request that an endpoint has started to run, for the usage reports. */
   readonly countStartedRequest: (workspace: WorkspaceName | undefined) => void;
 }
--- a/packages/gateway/src/lib/RoutingTable.ts
+++ b/packages/gateway/src/lib/RoutingTable.ts
@@ -6,7 +6,7 @@
   return { rank: workspace?.rank ?? route.rank, routeRank: route.rank };
 }
 
-/** Ranks of all requests that the configuration allows. */
+/** Rank pairs of all combinations of routes and workspaces that the configuration allows. */
 function rankPairs({ routes, workspaces }: RoutingConfiguration): RankPair[] {
   return routes.flatMap((route) => {
     const pairs = (workspaces ?? []).map((workspace) => rankPairOf(route, workspace));
@@ -15,7 +15,7 @@
   });
 }
 
-/** A routing configuration, indexed for look-ups by request. @public */
+/** Index of a routing configuration for lookups per request. @public */
 export class RoutingTable {
   readonly configuration: RoutingConfiguration;
 
@@ -58,17 +58,17 @@
     return this.configuration.workspaces !== undefined;
   }
 
-  /** The route with the longest prefix that begins the path. */
+  /** Finds the route with the longest prefix of the path. */
   findRoute(host: string, path: string): Route | undefined {
     return this.#routes.get(host)?.find(({ prefix }) => path.startsWith(prefix));
   }
 
-  /** Whether no other route of the pool is less urgent, so that its requests are turned away first. */
+  /** Whether no other route of the pool is less urgent, so that its requests are rejected first. */
   isLeastUrgent({ rank }: Route, pool: PoolName): boolean {
     return rank >= (this.#maxRanks.get(pool) ?? rank);
   }
 
-  /** Level of urgency of a request; 0 is the most urgent. */
+  /** Urgency level of a request; 0 is the most urgent. */
   urgencyLevelOf(route: Route, workspace: Workspace | undefined): number {
     return this.#urgency.levelOf(rankPairOf(route, workspace));
   }
@@ -82,7 +82,7 @@
   }
 }
 
-/** Chooses a target by weight; `draw` is uniform in [0, 1). @public */
+/** Chooses a target at random by weight; `draw` is uniform in [0, 1). @public */
 export function chooseTarget(targets: readonly Target[], draw: number): Target | undefined {
   const total = targets.reduce((sum, { weight }) => sum + weight, 0);
   let remainingWeight = draw * total;
--- a/packages/gateway/src/lib/Wire.ts
+++ b/packages/gateway/src/lib/Wire.ts
@@ -3,65 +3,65 @@
 import type { AttemptId, EndpointId, PoolName, WorkspaceName } from './ids';
 import type { RoutingConfiguration } from './RoutingConfiguration';
 
-/** A part of a prompt that several requests may share. @public */
+/** A part of a prompt; several requests may share it. @public */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
 }
 
-/** What a request says of itself. @public */
+/** Fields that a caller's request states about itself. @public */
 export interface RequestMetadata {
   readonly attempt: AttemptId | undefined;
   readonly host: string;
-  /** Time that the caller still waits, counted from the arrival, in milliseconds. */
+  /** Time that the caller is willing to wait from the arrival on, in milliseconds. */
   readonly deadlineMs: number | undefined;
   readonly key: string | undefined;
-  /** Parts of the prompt in order; the last one belongs to the request or its session alone. */
+  /** Parts of the prompt in order; the last one is specific to the request or its session. */
   readonly prompt: readonly PromptPart[];
   readonly promptTokens: number;
-  /** Most tokens that the answer may have. */
+  /** Maximum number of output tokens. */
   readonly answerTokens: number;
-  /** The caller's estimate of the answer's tokens; off by far at times. */
+  /** The caller's estimate of the output tokens; it can be far off. */
   readonly expectedTokens: number | undefined;
-  /** Event after which the caller wants a stream to go on. */
+  /** Id of the event after which the caller wants the stream to resume. */
   readonly resumeAfter: string | undefined;
 }
 
-/** What this system adds to a request that it hands to an endpoint. @public */
+/** Fields that the gateway adds to a request when it forwards it to an endpoint. @public */
 export interface ForwardingMetadata {
   readonly endpoint: EndpointId;
   readonly workspace: WorkspaceName | undefined;
-  /** Time until the endpoint should give up, in milliseconds. */
+  /** Time after which the endpoint should stop working on the request, in milliseconds. */
   readonly deadlineMs: number;
   /** 0 is the most urgent. */
   readonly rank: number;
   readonly bodyBytes: number;
-  /** Event after which a broken stream goes on; the caller's own if undefined. */
+  /** Id of the event after which a broken stream resumes; if undefined, the caller's value holds. */
   readonly resumeAfter: string | undefined;
 }
 
-/** Load as an endpoint states it with an answer. @public */
+/** Load that an endpoint reports in a response. @public */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** What an endpoint's answer says of itself. @public */
+/** Fields that an endpoint's response states about itself. @public */
 export interface ResponseMetadata {
   readonly attempt: AttemptId | undefined;
-  /** Whether the endpoint states that it has not run the request and won't. */
+  /** Whether the endpoint states that it has not run the request and will not run it. */
   readonly isNotRun: boolean;
-  /** Whether another incarnation than the expected one has answered. */
+  /** Whether the response comes from an incarnation other than the expected one. */
   readonly isMisdirected: boolean;
   readonly load: ReportedLoad | undefined;
-  /** Time for which the endpoint keeps the connection open, in milliseconds. */
+  /** Time for which the endpoint keeps an idle connection open, in milliseconds. */
   readonly keepAliveMs: number | undefined;
-  /** Whether the endpoint closes the connection after this answer. */
+  /** Whether the endpoint closes the connection after this response. */
   readonly closesConnection: boolean;
 }
 
-/** One endpoint as the list of endpoints names it. @public */
+/** One entry of the list of endpoints. @public */
 export interface ListedEndpoint {
   readonly id: EndpointId;
   readonly pool: PoolName;
@@ -72,40 +72,44 @@
   readonly isDraining: boolean;
 }
 
-/** One page of the list; entries that can't be read are left out and counted. @public */
+/** One page of the list of endpoints, without the entries that cannot be decoded. @public */
 export interface EndpointListPage {
   readonly endpoints: readonly ListedEndpoint[];
+  /** Number of entries that cannot be decoded. */
   readonly unreadable: number;
   readonly nextToken: string | undefined;
 }
 
-/** Header names and values in turn, as `IncomingMessage.rawHeaders`. @public */
+/** Header names and values alternating, as in `IncomingMessage.rawHeaders`. @public */
 export type RawHeaders = readonly string[];
 
-/** Names and formats of what callers, endpoints and operators send. @public */
+/** Header names and formats that callers, endpoints and operators use on the wire. @public */
 export abstract class Wire {
   abstract readRequest(headers: RawHeaders): RequestMetadata;
 
-  /** Headers for an endpoint: the caller's, but for its key and those that the system sets. */
+  /**
+   * Builds the headers for an endpoint: the caller's, except for its key and those that the gateway
+   * sets itself.
+   */
   abstract endpointHeaders(headers: RawHeaders, handover: ForwardingMetadata): string[];
 
   abstract readResponse(status: number, headers: RawHeaders): ResponseMetadata;
 
-  /** Headers for the caller out of those of an endpoint. */
+  /** Selects the headers of an endpoint's response that the caller receives. */
   abstract responseHeaders(headers: RawHeaders): string[];
 
-  /** Decodes and checks a configuration; the failure says what is wrong with it. */
+  /** Decodes and validates a configuration; the failure message names the problem. */
   abstract decodeConfiguration(text: string): Result<RoutingConfiguration, Failure>;
 
   abstract readonly paths: { readonly readiness: string; readonly configuration: string };
 }
 
-/** Calls to the platform. @public */
+/** Client of the platform. @public */
 export abstract class PlatformCalls {
   /** Reads one page of the list of endpoints. */
   abstract listEndpoints(token: string | undefined): Promise<Result<EndpointListPage, Failure>>;
 
-  /** Reports the frozen counts of a usage window under the fence of the registry's leader. */
+  /** Reports the frozen counts of a usage window with the fence of the registry's leader. */
   abstract reportUsage(
     window: number,
     counts: Record<string, number>,
--- a/packages/gateway/src/lib/composeAttempt.ts
+++ b/packages/gateway/src/lib/composeAttempt.ts
@@ -4,21 +4,21 @@
 import type { EndpointId } from './ids';
 import type { ResolvedRequest } from './resolveRequest';
 
-/** Endpoints take no deadline of 0. */
+/** Minimum deadline, in milliseconds: endpoints do not accept a deadline of 0. */
 const MIN_DEADLINE_MS = 1;
 
-/** What an attempt adds to the request of the caller. @internal */
+/** Values of one attempt that are added to the caller's request. @internal */
 export interface AttemptParameters {
   readonly endpoint: EndpointId;
   readonly leftMs: number;
   readonly body: Buffer;
-  /** Prompt tokens that the endpoint is expected to read. */
+  /** Prompt tokens that the endpoint is expected to prefill. */
   readonly tokens: number;
-  /** Id of the event after which a stream goes on that was begun here. */
+  /** Id of the last event that the caller has received, after which the stream resumes. */
   readonly resumeAfter: string | undefined;
 }
 
-/** Composes the request to an endpoint. @internal */
+/** Composes the request that is sent to an endpoint. @internal */
 export function composeAttempt(
   { wire }: GatewayContext,
   { metadata, workspace, rank }: ResolvedRequest,
--- a/packages/gateway/src/lib/describeRequest.ts
+++ b/packages/gateway/src/lib/describeRequest.ts
@@ -15,7 +15,11 @@
   | 'listAgeMs'
 >;
 
-/** What a request asked for, and the age of what it was handled by. @internal */
+/**
+ * Fields of the log line that come from the request itself, and the configuration version and age of
+ * the endpoint list that it was handled with.
+ * @internal
+ */
 export function describeRequest(
   { directory }: GatewayContext,
   resolved: ResolvedRequest | undefined,
--- a/packages/gateway/src/lib/ids.ts
+++ b/packages/gateway/src/lib/ids.ts
@@ -1,15 +1,15 @@
 import type { Id } from '@berylwood/base';
 
-/** One try of a caller to get an answer; the caller gives it. @public */
+/** Identifies one attempt of a caller at a request; assigned by the caller. @public */
 export type AttemptId = Id<'attempt'>;
 
-/** A workspace as the routing configuration names it. @public */
+/** Name of a workspace in the routing configuration. @public */
 export type WorkspaceName = Id<'workspace'>;
 
-/** A group of interchangeable endpoints. @public */
+/** Name of a group of interchangeable endpoints. @public */
 export type PoolName = Id<'pool'>;
 
-/** One incarnation of an endpoint. @public */
+/** Identifies one incarnation of an endpoint. @public */
 export type EndpointId = Id<'endpoint'>;
 
 /** Name of a route. @public */
--- a/packages/gateway/src/lib/listedEndpointsSchema.ts
+++ b/packages/gateway/src/lib/listedEndpointsSchema.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-/** The list of endpoints as instances tell it to each other; see `ListedEndpoint`. @internal */
+/** Schema of the endpoint list that the leader publishes to other instances; see `ListedEndpoint`. @internal */
 export const listedEndpointsSchema = z.array(
   z.strictObject({
     id: z.string().min(1),
--- a/packages/gateway/src/lib/placeRequest.ts
+++ b/packages/gateway/src/lib/placeRequest.ts
@@ -4,16 +4,16 @@
 import type { ResolvedRequest } from './resolveRequest';
 import type { RequestMetadata } from './Wire';
 
-/** An endpoint chosen for a request. @internal */
+/** An endpoint chosen for a request, with its expected prefill work. @internal */
 export interface Placement {
   readonly endpoint: Endpoint;
-  /** Prompt tokens that it is expected to read; 0 for plain services. */
+  /** Prompt tokens that the endpoint is expected to prefill; 0 for plain services. */
   readonly tokens: number;
-  /** Expected time until it has read them, in milliseconds; 0 for plain services. */
+  /** Expected time until the prefill is finished, in milliseconds; 0 for plain services. */
   readonly prefillMs: number;
 }
 
-/** The last part of a prompt belongs to the request alone, the one before it is shared by many. */
+/** Assumes that only the last part of a prompt is specific to the request, and the one before it shared. */
 function promptCostOf({ prompt, promptTokens, ...metadata }: RequestMetadata): PromptCost {
   const shared = prompt.at(-2);
   const listed = prompt.reduce((sum, { tokens }) => sum + tokens, 0);
@@ -24,8 +24,8 @@
 }
 
 /**
- * Chooses an endpoint for a request among those that can be used. When all are spared, any that
- * isn't leaving is tried: refusing everything would be worse.
+ * Chooses an endpoint for a request among the usable ones. If all of them are ejected, any endpoint
+ * that is in service is tried, since rejecting all requests would be worse.
  * @internal
  */
 export function placeRequest(
--- a/packages/gateway/src/lib/readBody.ts
+++ b/packages/gateway/src/lib/readBody.ts
@@ -1,8 +1,8 @@
 import type { IncomingMessage } from 'node:http';
 
 /**
- * Reads a whole body. `tooLarge` is reported as soon as the limit is passed, `gone` when the caller
- * closes its connection first.
+ * Reads a complete request body. Reports `tooLarge` as soon as the limit is exceeded, and `gone` if
+ * the caller closes its connection before the end.
  * @internal
  */
 export function readBody(
--- a/packages/gateway/src/lib/resolveRequest.ts
+++ b/packages/gateway/src/lib/resolveRequest.ts
@@ -8,19 +8,19 @@
 import { chooseTarget, type RoutingTable } from './RoutingTable';
 import type { RequestMetadata } from './Wire';
 
-/** A request together with what the configuration says of it. @internal */
+/** A request with the route, workspace, rank and pool that the configuration assigns to it. @internal */
 export interface ResolvedRequest {
   readonly metadata: RequestMetadata;
   readonly table: RoutingTable;
   readonly route: Route;
   readonly workspace: Workspace | undefined;
-  /** Level of urgency among all requests, by workspace and route; 0 is the most urgent. */
+  /** Urgency level among all requests, by workspace and route; 0 is the most urgent. */
   readonly rank: number;
-  /** Pool that the route's weights have drawn for it. */
+  /** Pool chosen at random by the weights of the route. */
   readonly target: PoolName;
 }
 
-/** Finds route, workspace and pool of a request, or says why it is not allowed. @internal */
+/** Finds the route, workspace and pool of a request, or returns the reason for rejecting it. @internal */
 export function resolveRequest(
   context: GatewayContext,
   request: IncomingMessage,
--- a/packages/gateway/src/lib/sendFailure.ts
+++ b/packages/gateway/src/lib/sendFailure.ts
@@ -3,7 +3,7 @@
 
 const SECOND_MS = 1000;
 
-/** Answers with a failure of this system: its number, and when to return. @internal */
+/** Sends a failure of this system as a JSON response, with `Retry-After` if a time is given. @internal */
 export function sendFailure(
   response: ServerResponse,
   { code, notRun }: Failure,
