--- a/packages/gateway/src/lib/Attempt.ts
+++ b/packages/gateway/src/lib/Attempt.ts
@@ -8,7 +8,7 @@
 import { CONNECT_TIMEOUT_MS } from './ReachabilityProbe';
 import type { ResponseMetadata, Wire } from './Wire';
 
-/** A request as it is handed to an endpoint. @internal */
+/** A request as it is sent to an endpoint. @internal */
 export interface OutgoingRequest {
   readonly method: string;
   /** Path and query, unchanged. */
@@ -16,25 +16,25 @@
   readonly headers: string[];
   readonly body: Buffer;
   readonly attempt: AttemptId | undefined;
-  /** Prompt tokens that the endpoint is expected to read. */
+  /** Prompt tokens that the endpoint is expected to prefill. */
   readonly promptTokens: number;
   /** 0 is the most urgent. */
   readonly rank: number;
 }
 
-/** The beginning of an answer. @internal */
+/** Status and headers of a response. @internal */
 export interface ResponseHead {
   readonly status: number;
   readonly rawHeaders: readonly string[];
   readonly metadata: ResponseMetadata;
   readonly isEventStream: boolean;
-  /** Whether the answer states where it ends, other than by the end of its connection. */
+  /** Whether the response is framed by Content-Length or Transfer-Encoding, not by a close. */
   readonly hasLength: boolean;
 }
 
 /**
- * How an attempt ended: `unsent` and `refused` prove that it has not run; after `broken` that is
- * unknown.
+ * Outcome of an attempt: `unsent` and `refused` prove that it has not run; after `broken` it may have
+ * run.
  * @internal
  */
 export type AttemptEnd =
@@ -43,17 +43,17 @@
   | { readonly type: 'refused'; readonly head: ResponseHead }
   | { readonly type: 'broken'; readonly reason: string };
 
-/** Receives the answer of one attempt. @internal */
+/** Receives the response of one attempt. @internal */
 export interface AttemptListener {
-  /** Called once with the head of an answer that is not a refusal. */
+  /** Called once with the head of the response, unless the endpoint rejected the request. */
   onHead(head: ResponseHead): void;
-  /** Called with each part of the body; false asks to pause until `resume`. */
+  /** Called with each part of the body; returning false pauses the response until `resume`. */
   onData(chunk: Buffer): boolean;
-  /** Called exactly once, unless the attempt was cancelled. */
+  /** Called exactly once, unless the attempt is cancelled. */
   onEnd(end: AttemptEnd): void;
 }
 
-/** One sending of a request to one endpoint. @internal */
+/** One attempt to have a request served by one endpoint. @internal */
 export class Attempt {
   readonly endpoint: Endpoint;
 
@@ -73,12 +73,12 @@
 
   #connectTimeout: Disposable | undefined;
 
-  /** Whether bytes may have left for the endpoint. */
+  /** Whether bytes may have been sent to the endpoint. */
   #isSent = false;
 
   #isRejection = false;
 
-  /** Prompt tokens that count as not read yet. */
+  /** Prompt tokens whose prefill has not finished as far as is known. */
   #pendingPrefillTokens: number;
 
   #isFinished = false;
@@ -115,18 +115,18 @@
     this.#request.end(body);
   }
 
-  /** Whether the endpoint may have got bytes of the request. */
+  /** Whether the endpoint may have received bytes of the request. */
   get isSent(): boolean {
     return this.#isSent;
   }
 
-  /** Notes that the endpoint has read the prompt. */
+  /** Records that the endpoint has finished the prefill. */
   prefillFinished(): void {
     this.endpoint.queue(this.#outgoing.rank, -this.#pendingPrefillTokens);
     this.#pendingPrefillTokens = 0;
   }
 
-  /** Breaks the attempt off; the endpoint sees its connection closed. */
+  /** Cancels the attempt without calling the listener, and closes its connection. */
   cancel(): void {
     if (this.#isFinished) return;
     this.#finish();
@@ -134,7 +134,7 @@
     this.#request.destroy();
   }
 
-  /** Breaks the attempt off because of what its endpoint did. */
+  /** Ends the attempt as `broken` because of a fault of its endpoint, and closes its connection. */
   abort(reason: string): void {
     this.#end({ type: 'broken', reason });
     this.#request.destroy();
@@ -151,7 +151,7 @@
     }
     socket.setNoDelay(true);
     this.#connectTimeout = this.#timer.after(CONNECT_TIMEOUT_MS, () => {
-      this.#end({ type: 'unsent', reason: 'no connection in time' });
+      this.#end({ type: 'unsent', reason: 'connect timeout' });
       this.#request.destroy();
     });
     socket.once('connect', () => {
@@ -169,7 +169,7 @@
     const { statusCode: status = 0, rawHeaders } = answer;
     const metadata = this.#wire.readResponse(status, rawHeaders);
     if (metadata.attempt !== undefined && metadata.attempt !== this.#outgoing.attempt) {
-      this.abort('answer of another request');
+      this.abort('response belongs to another request');
       return;
     }
     this.#response = answer;
@@ -188,7 +188,7 @@
     });
     const { socket } = answer;
     answer.on('end', () => {
-      // The parser takes the reset of a connection, too, as the end of an answer without a length.
+      // The parser also treats a connection reset as the end of a response without a length.
       this.#onResponseEnd(head, answer.complete && (hasLength || socket.readableEnded));
     });
     answer.on('error', (error) => this.#end({ type: 'broken', reason: String(error) }));
--- a/packages/gateway/src/lib/EventScanner.ts
+++ b/packages/gateway/src/lib/EventScanner.ts
@@ -1,8 +1,8 @@
-/** Whole events of a stream, as found in what has arrived. @internal */
+/** Complete events found in the received bytes of a stream. @internal */
 export interface ScannedEvents {
-  /** Bytes of whole events, in order; empty if none is complete. */
+  /** Bytes of the complete events, in order; empty if there are none. */
   readonly bytes: Buffer;
-  /** Id of the last whole event that has one. */
+  /** Id of the last complete event that has an id. */
   readonly lastId: string | undefined;
 }
 
@@ -10,8 +10,8 @@
 const LINE_FEED = 0x0a;
 
 /**
- * Cuts a stream of server-sent events into whole events, so that a caller never gets a part of one
- * that its endpoint did not finish. Events that a resumed stream repeats are left out.
+ * Splits a stream of server-sent events into complete events, so that a caller never receives part of an
+ * event that the endpoint did not finish. Events that a resumed stream repeats are dropped.
  * @internal
  */
 export class EventScanner {
@@ -19,7 +19,7 @@
 
   #lastId: string | undefined;
 
-  /** Whether bytes of an unfinished event have arrived. */
+  /** Whether bytes of an incomplete event are pending. */
   get hasPartialEvent(): boolean {
     return this.#pending.length > 0;
   }
@@ -28,7 +28,7 @@
     return this.#lastId;
   }
 
-  /** Drops the unfinished end, since another endpoint goes on. */
+  /** Discards the incomplete event, since another endpoint sends it again. */
   dropPartialEvent(): void {
     this.#pending = EMPTY;
   }
@@ -56,7 +56,7 @@
   }
 }
 
-/** Position after the empty line that ends an event, or 0. */
+/** Returns the position after the empty line that ends an event, or 0 if there is none. */
 function findEnd(bytes: Buffer, from: number): number {
   for (let at = bytes.indexOf(LINE_FEED, from); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
     if (bytes[at + 1] === LINE_FEED) return at + 2;
--- a/packages/gateway/src/lib/Exchange.ts
+++ b/packages/gateway/src/lib/Exchange.ts
@@ -18,10 +18,10 @@
 import { sendFailure } from './sendFailure';
 import { StallDetector } from './StallDetector';
 
-/** Time in which a refused caller finds room, in milliseconds: about one answer of an engine. */
+/** Expected time until capacity is free again, in milliseconds: about one response of an engine. */
 const RETRY_AFTER_BASE_MS = 600;
 
-/** One client attempt, from its arrival to its final answer. @internal */
+/** One attempt of a caller, from its arrival to the end of its response. @internal */
 export class Exchange implements AttemptListener {
   readonly #context: GatewayContext;
 
@@ -47,7 +47,7 @@
 
   #relay: ResponseRelay | undefined;
 
-  /** Wait of a request that came while the instance was starting. */
+  /** Hold on a request that arrived while the instance was starting. */
   #hold: Disposable | undefined;
 
   readonly #triedEndpoints = new Set<string>();
@@ -61,7 +61,7 @@
 
   readonly #timing = new ResponseTiming();
 
-  /** Expected time until its prompt is read, when it was placed. */
+  /** Expected time until the end of the prefill, as of the latest placement. */
   #expectedPrefillMs = 0;
 
   constructor(context: GatewayContext, request: IncomingMessage, response: ServerResponse) {
@@ -75,7 +75,7 @@
     return this.#deadlineAt - this.#context.timer.now();
   }
 
-  /** Reads the request and places it, once the instance knows enough. */
+  /** Resolves, reads and places the request; while the instance is starting, holds it first. */
   start(): void {
     this.#response.on('close', () => this.#onCallerClosed());
     this.#response.on('drain', () => this.#attempt?.resume());
@@ -155,7 +155,7 @@
     }
   }
 
-  /** Takes the request away from an endpoint that has fallen silent, if it can be repeated. */
+  /** Aborts a stalled attempt if the request can be retried on another endpoint. */
   #onStall(reason: string): void {
     const { context, resolved } = this.#parts;
     const hasBudget = context.budgets.hasBudget(resolved.target);
@@ -179,12 +179,12 @@
     const { context, resolved } = this.#parts;
     const placement = placeRequest(context, resolved, this.#triedEndpoints);
     if (placement === undefined) {
-      this.#abort(gatewayCodes.noEndpoint, 'no endpoint can take it');
+      this.#abort(gatewayCodes.noEndpoint, 'no endpoint available');
       return;
     }
     this.#expectedPrefillMs = placement.prefillMs;
     if (this.#shouldReject(placement.prefillMs)) {
-      this.#abort(gatewayCodes.overloaded, 'it would begin too late');
+      this.#abort(gatewayCodes.overloaded, 'expected to start too late');
       return;
     }
     const { endpoint, tokens } = placement;
@@ -205,8 +205,8 @@
   }
 
   /**
-   * Whether a request that no endpoint has got yet should be turned away. Only the least urgent
-   * route of a pool is: the queue at one engine says little of the room that others have.
+   * Whether a request that has not been sent to any endpoint should be rejected. Only the least urgent
+   * route of a pool is, since the queue of one engine tells little about the capacity of the others.
    */
   #shouldReject(readMs: number): boolean {
     const { route, metadata, table, target } = this.#parts.resolved;
@@ -235,7 +235,7 @@
     } else this.#attempt?.endpoint.answered();
     answer.finish();
     this.#transition('finish');
-    this.#finish(answer.status, undefined, isFailure ? 'failed at the endpoint' : undefined);
+    this.#finish(answer.status, undefined, isFailure ? 'endpoint returned 5xx' : undefined);
   }
 
   #canRetry(isNotRun: boolean): boolean {
@@ -244,14 +244,14 @@
     return canRetry({ kind, isResumable, maxAttempts, isNotRun, ...tries });
   }
 
-  /** Sends the request to another endpoint, or ends it with a code that says what is known. */
+  /** Retries the request on another endpoint, or ends it with a code if that is not possible. */
   #retryOrAbort(code: Code, reason: string): void {
     if (this.#lifecycle.isFinal) return;
     if (this.#canRetry(!this.#mayHaveRun) && this.#tryRetry()) return;
     this.#abort(code, reason);
   }
 
-  /** Places the request again if the budget has room; what reached no endpoint is free. */
+  /** Places the request again if the budget allows; free if no attempt has reached an endpoint. */
   #tryRetry(): boolean {
     const { context, resolved } = this.#parts;
     const isFree = this.#sends === 0;
@@ -265,7 +265,7 @@
     return true;
   }
 
-  /** Ends the request without a complete answer; a stream that has begun is cut. */
+  /** Ends the request without a complete response; a response whose head was sent is cut. */
   #abort(code: Code, reason: string): void {
     if (this.#lifecycle.isFinal) return;
     if (this.#relay?.isHeadSent) {
@@ -284,7 +284,7 @@
     const isSent = this.#attempt?.isSent ?? false;
     this.#attempt?.cancel();
     const code = isSent || this.#mayHaveRun ? gatewayCodes.answerLate : gatewayCodes.notRunInTime;
-    this.#abort(code, 'the time of the request has ended');
+    this.#abort(code, 'the deadline of the request has passed');
   }
 
   #onCallerClosed(): void {
--- a/packages/gateway/src/lib/ReachabilityProbe.ts
+++ b/packages/gateway/src/lib/ReachabilityProbe.ts
@@ -2,16 +2,16 @@
 import type { Timer } from '@berylwood/base';
 import { splitAddress } from '@berylwood/link';
 
-/** Time for a connection to be made; both ends are milliseconds apart. */
+/** Connect timeout, in milliseconds; the network latency is a few milliseconds. */
 export const CONNECT_TIMEOUT_MS = 300;
 
-/** Time for which an endpoint that was reached is not probed again, in milliseconds: probes cost. */
+/** Time for which a reachable endpoint is not probed again, in milliseconds; limits the cost of probes. */
 const REACHABLE_TTL_MS = 2000;
 
 /**
- * Finds out whether an endpoint that has fallen silent can still be reached: a machine that has lost
- * its power or its network answers nothing, and kept connections to it do not show that. One probe
- * at a time serves all requests that wait for the endpoint.
+ * Probes by a new connection whether an unresponsive endpoint is reachable. When a machine loses power or
+ * network, persistent connections to it report no error. One probe at a time serves all requests that
+ * wait for the endpoint.
  * @internal
  */
 export class ReachabilityProbe {
@@ -28,7 +28,7 @@
     this.#timer = timer;
   }
 
-  /** Calls back if the endpoint can't be reached. */
+  /** Calls back if the endpoint is unreachable. */
   check(onUnreachable: () => void): void {
     if (this.#timer.now() - this.#lastReachableAt < REACHABLE_TTL_MS) return;
     this.#pendingCallbacks.push(onUnreachable);
@@ -43,7 +43,7 @@
       this.#end(socket, true);
     };
     socket.once('connect', onReachable);
-    // A refusal comes from a machine that runs; what was sent there is reset by itself.
+    // A refused connection shows that the machine runs; it resets open connections by itself.
     socket.once('error', onReachable);
   }
 
--- a/packages/gateway/src/lib/RequestLog.ts
+++ b/packages/gateway/src/lib/RequestLog.ts
@@ -1,44 +1,45 @@
 import type { Journal, Metrics, Timer } from '@berylwood/base';
 import { gatewayEvents } from './events';
 
-/** Lines of served requests a second; failures are always written. */
+/** Maximum lines of served requests per second; lines of failed requests are always written. */
 const MAX_SERVED_LINES_PER_S = 40;
 
 const SECOND_MS = 1000;
 
-/** What is written of a request at its end. @internal */
+/** Fields of the log line that is written at the end of a request. @internal */
 export interface RequestRecord {
   readonly request: string | undefined;
   readonly route: string | undefined;
   readonly workspace: string | undefined;
   readonly pool: string | undefined;
-  /** Rank that the endpoint was told; 0 is the most urgent. */
+  /** Rank that was sent to the endpoint; 0 is the most urgent. */
   readonly rank: number | undefined;
   readonly endpoint: string | undefined;
   readonly status: number;
-  /** Number of the result code of this system; undefined for an endpoint's own answer. */
+  /** Number of the result code of this system; undefined for a response of an endpoint. */
   readonly code: number | undefined;
   readonly reason: string | undefined;
-  /** Endpoints that may have got bytes of it. */
+  /** Number of endpoints that may have received bytes of the request. */
   readonly sends: number;
   readonly firstMs: number | undefined;
-  /** Expected time until the prompt is read, in milliseconds, when it was placed; 0 for calls. */
+  /** Expected time until the end of the prefill at the placement, in milliseconds; 0 for calls. */
   readonly expectedMs: number;
-  /** Longest pause between parts of the answer, in milliseconds. */
+  /** Longest pause between parts of the response, in milliseconds. */
   readonly pauseMs: number;
   readonly promptTokens: number | undefined;
   readonly totalMs: number;
-  /** Time that the caller gave, in milliseconds. */
+  /** Deadline that the caller stated, in milliseconds from the arrival. */
   readonly deadlineMs: number | undefined;
-  /** Version of the routing configuration it was handled by. */
+  /** Version of the routing configuration that the request was handled with. */
   readonly version: number | undefined;
   /** Age of the list of endpoints, in milliseconds. */
   readonly listAgeMs: number;
 }
 
 /**
- * One line for each request. Load pattern: a burst of served requests must not fill the log, so
- * their lines are bounded and the rest is counted; lines of failed requests are kept.
+ * Writes one log line per request and counts requests in the metrics. Load pattern: a burst of served
+ * requests must not fill the log, so their lines are rate limited and omitted ones are counted. Lines
+ * of failed requests are always written.
  * @internal
  */
 export class RequestLog {
--- a/packages/gateway/src/lib/ResponseRelay.ts
+++ b/packages/gateway/src/lib/ResponseRelay.ts
@@ -3,14 +3,15 @@
 import { EventScanner } from './EventScanner';
 import type { Wire } from './Wire';
 
-/** Bytes of a plain answer that are held back, so that a broken one can be had elsewhere. */
+/** Bytes of a plain response that are buffered; until they are sent, another endpoint can serve it. */
 const MAX_BUFFERED_BYTES = 256 * 1024;
 
 const MIN_FAILURE_STATUS = 500;
 
 /**
- * The answer to a caller. Plain answers are held until they are complete; streams are passed on in
- * whole events, and their head with the first one, so that until then another endpoint can answer.
+ * Relays an endpoint's response to the caller. Plain responses are buffered until they are complete or
+ * exceed the buffer. Streams are forwarded in complete events, and the head with the first event. Until
+ * the head is sent, the request can be retried on another endpoint.
  * @internal
  */
 export class ResponseRelay {
@@ -35,7 +36,7 @@
     this.#wire = wire;
   }
 
-  /** Whether the caller has got the head. */
+  /** Whether the head was sent to the caller. */
   get isHeadSent(): boolean {
     return this.#isHeadSent;
   }
@@ -48,7 +49,7 @@
     return this.#head?.status ?? 0;
   }
 
-  /** Whether the endpoint failed to serve the request. */
+  /** Whether the endpoint returned a server error. */
   get isFailure(): boolean {
     return this.status >= MIN_FAILURE_STATUS;
   }
@@ -57,17 +58,17 @@
     return this.#isHeadSent && this.isEventStream;
   }
 
-  /** Whether bytes of an unfinished event are left. */
+  /** Whether bytes of an incomplete event are pending. */
   get hasPartialEvent(): boolean {
     return this.#scanner?.hasPartialEvent ?? false;
   }
 
-  /** Id of the last event that was passed on. */
+  /** Id of the last event that was forwarded to the caller. */
   get lastEventId(): string | undefined {
     return this.#isHeadSent ? this.#scanner?.lastId : undefined;
   }
 
-  /** Takes the head of an endpoint's answer; a stream that goes on keeps its first one. */
+  /** Sets the head of the response; a resumed stream keeps the head that was already sent. */
   setHead(head: ResponseHead, closesConnection: boolean): void {
     if (this.#isHeadSent) return;
     this.#head = head;
@@ -75,7 +76,7 @@
     if (head.isEventStream) this.#scanner ??= new EventScanner();
   }
 
-  /** Takes a part of the body; false when the caller doesn't keep up. */
+  /** Adds a part of the body. Returns false if the caller reads too slowly. */
   push(chunk: Buffer): boolean {
     if (this.#scanner) {
       const { bytes } = this.#scanner.push(chunk);
@@ -89,14 +90,13 @@
     );
   }
 
-  /** Drops what another endpoint will send anew. */
+  /** Discards buffered data, which another endpoint will send again. */
   reset(): void {
     this.#takeBuffered();
     this.#scanner?.dropPartialEvent();
     if (!this.#isHeadSent) this.#scanner = undefined;
   }
 
-  /** Completes the answer. */
   finish(): void {
     const body = Buffer.concat(this.#takeBuffered());
     const isSized = !this.isEventStream && this.#head?.hasLength;
@@ -122,7 +122,7 @@
     if (bodyBytes !== undefined) headers.push('Content-Length', String(bodyBytes));
     const isUnframed = this.#head?.hasLength === false;
     if (this.#closesConnection || isUnframed) headers.push('Connection', 'close');
-    // Whether such an answer is whole can't be known, so the caller gets it without a length, too.
+    // The end of such a response is not marked, so it is forwarded without chunked encoding as well.
     if (isUnframed) this.#response.useChunkedEncodingByDefault = false;
     this.#isHeadSent = true;
     this.#response.writeHead(status, headers);
--- a/packages/gateway/src/lib/ResponseTiming.ts
+++ b/packages/gateway/src/lib/ResponseTiming.ts
@@ -1,6 +1,6 @@
-/** When the parts of an answer came. @internal */
+/** Records when the parts of a response arrive. @internal */
 export class ResponseTiming {
-  /** Monotonic time of the first part. */
+  /** Monotonic time at which the first part arrived. */
   firstAt: number | undefined;
 
   /** Longest time between two parts, in milliseconds. */
--- a/packages/gateway/src/lib/RetryBudgets.ts
+++ b/packages/gateway/src/lib/RetryBudgets.ts
@@ -2,27 +2,27 @@
 import { RetryBudget } from '@berylwood/policy';
 import type { PoolName } from './ids';
 
-/** Bounds on sending requests once more, for all instances together. @public */
+/** Limits on retries, for all instances together. @public */
 export interface RetryLimits {
-  /** Repeats as a share of the requests. */
+  /** Retries as a fraction of the requests. */
   readonly ratio: number;
-  /** Repeats allowed beyond that share in one window. */
+  /** Retries allowed beyond that fraction in one window. */
   readonly slack: number;
 }
 
-/** Part of the bounds that is used: instances divide them by a count that may be out of date. */
+/** Fraction of the limits in use; a margin, since each instance divides them by a count that may be stale. */
 const USED_FRACTION = 0.7;
 
-/** Change of the number of instances at which a budget is divided anew. */
+/** Factor by which the number of instances must change before a budget is replaced. */
 const RESIZE_FACTOR = 2;
 
-/** Longest backoff before a repeat, in milliseconds: it goes to another endpoint. */
+/** Maximum backoff, in milliseconds. It is short, since a retry is sent to another endpoint. */
 const MAX_BACKOFF_MS = 20;
 
 /**
- * Budgets of repeats by pool. Load pattern: when many endpoints fail at once, each failed request
- * would be sent again and double the load of those left. The bound holds for the whole system, so
- * each instance takes an equal part of it and gains more only with the requests it receives.
+ * Retry budgets by pool. Load pattern: when many endpoints fail at once, retrying every failed
+ * request would double the load of the remaining ones. The limits hold for the whole system, so each
+ * instance starts with an equal share and earns further retries only by the requests it receives.
  * @internal
  */
 export class RetryBudgets {
@@ -41,12 +41,15 @@
     this.#budgetOf(pool).arrived();
   }
 
-  /** Whether a repeat is left. */
+  /** Whether the budget allows a retry. */
   hasBudget(pool: PoolName): boolean {
     return this.#budgetOf(pool).balance >= 1;
   }
 
-  /** Takes one repeat; the backoff before it in milliseconds, or undefined if none is left. */
+  /**
+   * Takes one retry. Returns its backoff in milliseconds, or undefined if the budget is exhausted or
+   * the backoff would not end within `leftMs`.
+   */
   take(pool: PoolName, attempts: number, leftMs: number, random: Random): number | undefined {
     return this.#budgetOf(pool).take(attempts, leftMs, random);
   }
--- a/packages/gateway/src/lib/StallDetector.ts
+++ b/packages/gateway/src/lib/StallDetector.ts
@@ -2,46 +2,47 @@
 import type { Endpoint } from './Endpoint';
 import type { Route } from './RoutingConfiguration';
 
-/** Multiple of the objective without an answer after which a repeatable call goes elsewhere. */
+/** Multiple of the objective without a response after which a repeatable call is reported as stalled. */
 const NO_RESPONSE_OBJECTIVES = 2;
 
-/** Multiple of the objective after which a silent stream that others have overtaken goes elsewhere. */
+/** Multiple of the objective after which a stream without an event is reported if it was overtaken. */
 const OVERTAKEN_OBJECTIVES = 0.5;
 
-/** Multiple of the objective after which the endpoint of a stream without an event is probed. */
+/** Multiple of the objective without an event after which the endpoint of a new stream is probed. */
 const PROBE_OBJECTIVES = 0.75;
 
-/** Multiple of its longest pause in time after which the endpoint of a running stream is probed. */
+/** Multiple of the route's `pauseMs` without an event after which a running stream's endpoint is probed. */
 const PROBE_PAUSES = 3;
 
-/** Shortest silence of a running stream that is looked into, in milliseconds. */
+/** Minimum time without an event before a running stream's endpoint is probed, in milliseconds. */
 const MIN_PAUSE_MS = 400;
 
-/** Interval at which a stream is looked at, as a multiple of the objective. */
+/** Interval between checks of a stream, as a multiple of the objective. */
 const CHECK_INTERVAL_OBJECTIVES = 0.125;
 
-/** An attempt as a watch sees it. */
+/** The parts of an attempt that the detector uses. */
 interface WatchedAttempt {
   readonly startedAt: number;
   readonly endpoint: Pick<Endpoint, 'hasOvertaken' | 'seenSince' | 'probe'>;
 }
 
-/** What a watch needs to know. @internal */
+/** @internal */
 export interface StallDetectorOptions {
   readonly timer: Timer;
   readonly attempt: WatchedAttempt;
   readonly route: Pick<Route, 'kind' | 'objectiveMs' | 'pauseMs'>;
   readonly rank: number;
-  /** Called when the answer is probably lost; the watch goes on. */
+  /** Called when the response is probably lost; may be called again, as checks of a stream continue. */
   readonly onStall: (reason: string) => void;
 }
 
 /**
- * Watches an attempt for silence. Load patterns:
- * - An endpoint runs a request and its answer is lost, while it serves others. A stream counts as
- *   lost only once later ones have begun there, since in a burst all are slow.
- * - An endpoint goes dark with all its streams, begun or not. Nothing is heard from it any more,
- *   which on an instance with few requests may be chance; a new connection tells.
+ * Detects that the response to an attempt has stalled. Load patterns:
+ * - An endpoint runs a request and its response is lost, while the endpoint serves other requests. A
+ *   stream counts as lost only once later streams have started on the endpoint, since in a burst all
+ *   streams are slow.
+ * - An endpoint becomes unreachable with all its streams, started or not. No data is received from it,
+ *   which can be chance on an instance with few requests, so a connection probe decides.
  * @internal
  */
 export class StallDetector implements Disposable {
@@ -51,7 +52,7 @@
 
   #nextCheck: Disposable | undefined;
 
-  /** Whether an event has come. */
+  /** Whether an event was received. */
   #hasStarted = false;
 
   #lastEventAt: number;
@@ -71,7 +72,7 @@
     }
   }
 
-  /** Notes an event of the stream. */
+  /** Records an event of the stream. */
   eventReceived(): void {
     this.#hasStarted = true;
     this.#lastEventAt = this.#options.timer.now();
--- a/packages/gateway/src/lib/StartGate.ts
+++ b/packages/gateway/src/lib/StartGate.ts
@@ -1,24 +1,24 @@
 import { DisposableStore, type Timer } from '@berylwood/base';
 
 /**
- * Time after the start for which requests wait for the first news, in milliseconds: other instances
- * that were restarted at the same time have them within half a second.
+ * Maximum time after the start for which requests are held, in milliseconds. Instances that are restarted
+ * at the same time have their configuration and endpoints within half a second.
  */
 const MAX_HOLD_MS = 1000;
 
-/** A request that waits. @internal */
+/** A request that is held. @internal */
 export interface HeldRequest {
   readonly onRelease: () => void;
-  /** Time that its caller has left, in milliseconds, if stated. */
+  /** Deadline that the caller stated, in milliseconds from the arrival, if any. */
   readonly deadlineMs: number | undefined;
-  /** Called when that time ends first; the request is out then. */
+  /** Called instead of `onRelease` if the deadline passes first. */
   readonly onTimeout: () => void;
 }
 
 /**
- * Holds requests of an instance that has just started until it knows its configuration and its
- * endpoints. Load pattern: all instances are restarted at once, and all callers return before the
- * first of them knows anything.
+ * Holds requests to an instance that has just started until its configuration and its list of endpoints
+ * are loaded. Load pattern: all instances are restarted at once, and all callers reconnect before any
+ * instance has loaded them.
  * @internal
  */
 export class StartGate implements Disposable {
@@ -35,12 +35,12 @@
     this.#deadline = timer.after(MAX_HOLD_MS, () => this.release());
   }
 
-  /** Whether requests that arrive now wait. */
+  /** Whether new requests are held. */
   get isHolding(): boolean {
     return this.#isHolding;
   }
 
-  /** Calls back once; disposing of the result takes the request out. */
+  /** Holds a request and calls back at most once; disposing of the result removes the request. */
   wait({ onRelease, deadlineMs = Infinity, onTimeout }: HeldRequest): Disposable {
     const held = new DisposableStore();
     const release = (): void => {
@@ -59,7 +59,7 @@
     return held;
   }
 
-  /** Lets go what waits, for good. */
+  /** Releases all held requests; later requests are not held. */
   release(): void {
     if (!this.#isHolding) return;
     this.#isHolding = false;
--- a/packages/gateway/src/lib/canRetry.ts
+++ b/packages/gateway/src/lib/canRetry.ts
@@ -1,29 +1,29 @@
 import type { RequestKind } from './RoutingConfiguration';
 
-/** What is known when an attempt has ended without a usable answer. @internal */
+/** State of a request after an attempt that produced no usable response. @internal */
 export interface RetryState {
   readonly kind: RequestKind;
   readonly isResumable: boolean;
-  /** Whether no attempt so far can have run. */
+  /** Whether it is certain that no attempt so far has run. */
   readonly isNotRun: boolean;
-  /** Attempts whose bytes may have reached an endpoint. */
+  /** Number of attempts whose bytes may have reached an endpoint. */
   readonly sends: number;
   readonly maxAttempts: number;
-  /** Attempts that reached no endpoint. */
+  /** Number of attempts that failed to connect to an endpoint. */
   readonly connectErrors: number;
   readonly leftMs: number;
 }
 
-/** Connections that one request may fail to make before it is refused. */
+/** Number of connection errors after which a request is rejected. */
 const MAX_CONNECT_ERRORS = 6;
 
-/** Time below which another attempt can't finish, in milliseconds. */
+/** Minimum time left for another attempt, in milliseconds; with less it cannot finish. */
 const MIN_LEFT_MS = 40;
 
 /**
- * Whether a request may be sent to another endpoint. Load pattern: endpoints that crash or fail
- * leave requests whose callers still have time. What may have run is repeated only if its kind
- * allows it.
+ * Whether a request may be retried on another endpoint. Load pattern: endpoints crash or fail while
+ * the callers of their requests still have time. A request that may have run is retried only if its
+ * kind allows it.
  * @internal
  */
 export function canRetry(input: RetryState): boolean {
--- a/packages/gateway/src/lib/exchangeMachine.ts
+++ b/packages/gateway/src/lib/exchangeMachine.ts
@@ -1,12 +1,12 @@
 import { LifecycleTable } from '@berylwood/base';
 import { createMachine } from 'xstate';
 
-/** Events in the life of a request. @internal */
+/** Events of the lifecycle of a request. @internal */
 export type ExchangeEvent = 'read' | 'send' | 'retry' | 'answer' | 'finish' | 'fail' | 'leave';
 
 const ending = { fail: 'failed', leave: 'abandoned' } as const;
 
-/** The life of one client attempt in the gateway. */
+/** Lifecycle of one attempt of a caller in the gateway. */
 const exchangeMachine = createMachine({
   id: 'exchange',
   initial: 'reading',
@@ -14,7 +14,7 @@
     reading: { on: { read: 'placing', ...ending } },
     placing: { on: { send: 'sent', ...ending } },
     sent: { on: { retry: 'placing', answer: 'answering', finish: 'served', ...ending } },
-    // A resumable stream that breaks is placed again; its head stays the first one.
+    // A resumable stream that breaks is placed again; the caller keeps the head already sent.
     answering: { on: { retry: 'replacing', finish: 'served', ...ending } },
     replacing: { on: { send: 'answering', ...ending } },
     served: { type: 'final' },
