--- a/packages/gateway/src/lib/CallerServer.ts
+++ b/packages/gateway/src/lib/CallerServer.ts
@@ -4,15 +4,18 @@
 import { HttpListener } from './HttpListener';
 import type { CallerLimits } from './RoutingConfiguration';
 
-/** Headers are bounded here before the configuration is known, which may only ask for less. */
+/**
+ * Maximum size of headers, in bytes. It is fixed before a configuration is loaded, so a configuration
+ * may only ask for less.
+ */
 const MAX_HEADER_BYTES = 64 * 1024;
 
-/** Interval at which slow headers are looked for, in milliseconds. */
+/** Interval at which the server checks for header timeouts, in milliseconds. */
 const HEADER_CHECK_INTERVAL_MS = 1000;
 
 const DEFAULT_LIMITS = { headerTimeoutMs: 10_000, idleTimeoutMs: 15_000 };
 
-/** Takes the requests of callers. @internal */
+/** HTTP server for callers' requests. @internal */
 export class CallerServer extends HttpListener {
   protected readonly server: Server;
 
@@ -39,7 +42,7 @@
     );
   }
 
-  /** Requests without a final answer. */
+  /** Number of requests whose response is not complete. */
   get openRequests(): number {
     return this.#open;
   }
--- a/packages/gateway/src/lib/Endpoint.ts
+++ b/packages/gateway/src/lib/Endpoint.ts
@@ -5,51 +5,55 @@
 import { ReachabilityProbe } from './ReachabilityProbe';
 import type { ListedEndpoint, ReportedLoad } from './Wire';
 
-/** Time an endpoint is spared after a connection to it failed; it is probed by one request then. */
+/**
+ * First time for which a failed endpoint is ejected, in milliseconds. Afterwards one request probes it;
+ * each failed probe doubles the time, up to `MAX_EJECTION_MS`.
+ */
 const EJECTION_MS = 1500;
+
 const MAX_EJECTION_MS = 6000;
 
-/** Failures in a row after which an endpoint is spared though it takes connections. */
+/** Consecutive failed responses after which an endpoint is ejected even though it accepts connections. */
 const CONSECUTIVE_FAILURES = 4;
 
-/** Share of a stated load of others that is still counted after this time, in milliseconds. */
+/** Time after which a reported load of other instances counts half, in milliseconds. */
 const LOAD_HALF_LIFE_MS = 600;
 
 function sumUpToRank(tokens: readonly number[], rank: number): number {
   return tokens.slice(0, rank + 1).reduce((sum, count) => sum + count, 0);
 }
 
-/** Time for which the work that the leader told counts as known, in milliseconds. */
+/** Time for which the remote work received from the leader is used, in milliseconds. */
 const REMOTE_WORK_TTL_MS = 1000;
 
-/** Requests sent within this time may begin in any order, in milliseconds. */
+/** Requests sent within this time of each other may start in any order, in milliseconds. */
 const OVERTAKE_MARGIN_MS = 250;
 
-/** What an engine's view depends on. */
+/** Properties of the request and the pool for which an engine is evaluated. */
 interface EngineViewOptions {
   readonly dataCentre: string;
-  /** Instances that share the endpoints. */
+  /** Number of instances that share the endpoints. */
   readonly instances: number;
-  /** Rank of the request that is placed. */
+  /** Rank of the request to be placed. */
   readonly rank: number;
-  /** Requests that an engine of the pool runs at a time. */
+  /** Requests that an engine of the pool runs concurrently. */
   readonly slots: number;
 }
 
-/** One endpoint as this instance sees it. @internal */
+/** State of one endpoint as known to this instance: load, health and connections. @internal */
 export class Endpoint implements Disposable {
   readonly agent: EndpointAgent;
 
   #listed: ListedEndpoint;
 
-  /** Opens on the first connection that fails. */
+  /** Opens on the first failed connection. */
   readonly #connectBreaker = new CircuitBreaker({
     failures: 1,
     openMs: EJECTION_MS,
     maxOpenMs: MAX_EJECTION_MS,
   });
 
-  /** Opens on answers that fail in a row. */
+  /** Opens on consecutive failed responses. */
   readonly #responseBreaker = new CircuitBreaker({
     failures: CONSECUTIVE_FAILURES,
     openMs: EJECTION_MS,
@@ -60,28 +64,28 @@
 
   readonly #probe: ReachabilityProbe;
 
-  /** Time at which anything last came from the endpoint. */
+  /** Time at which data was last received from the endpoint. */
   #lastSeenAt = -Infinity;
 
   #inFlight = 0;
 
-  /** Requests of other instances, as of the last stated load. */
+  /** Requests of other instances, as of the last reported load. */
   #remoteRequests = 0;
 
   #remoteRequestsAt = -Infinity;
 
   #isLeaving = false;
 
-  /** By rank, prompt tokens sent from here that are not known to be read yet. */
+  /** By rank, prompt tokens that this instance has sent and whose prefill is not known to be finished. */
   readonly #pendingPrefillTokens: number[] = Array.from({ length: URGENCY_LEVELS }, () => 0);
 
-  /** Work of all other instances, as the leader last told it. */
+  /** Work in flight from all other instances, as last received from the leader. */
   #remoteWork = { tokens: [] as readonly number[], requests: 0, at: -Infinity };
 
-  /** By rank, the latest time at which a request was sent that has begun to run since. */
+  /** By rank, the latest send time of the requests that have started to run. */
   readonly #latestStartedSentAt = new Map<number, number>();
 
-  /** Called when the endpoint is spared from now on, after failures. */
+  /** Called when the endpoint is ejected after failures. */
   readonly #onEjected: (reason: string) => void;
 
   constructor(
@@ -101,7 +105,7 @@
     return this.#listed;
   }
 
-  /** Whether requests may be sent there now. */
+  /** Whether requests may be sent to the endpoint now: in service and not ejected. */
   get isUsable(): boolean {
     const now = this.#timer.now();
     return (
@@ -109,63 +113,63 @@
     );
   }
 
-  /** Whether the endpoint stays, spared or not. */
+  /** Whether the endpoint is neither draining nor leaving; it may be ejected. */
   get isInService(): boolean {
     return !this.#listed.isDraining && !this.#isLeaving;
   }
 
-  /** Whether requests of this instance are on their way. */
+  /** Whether requests of this instance are in flight. */
   get isBusy(): boolean {
     return this.#inFlight > 0;
   }
 
-  /** Whether a connection is free for one more request. */
+  /** Whether a connection is available for one more request. */
   get hasFreeConnection(): boolean {
     return this.#inFlight < this.agent.maxSockets;
   }
 
-  /** Takes over a newer entry of the list under the same id. */
+  /** Replaces the list entry by a newer one with the same id and address. */
   update(listed: ListedEndpoint): void {
     this.#listed = listed;
   }
 
-  /** Sets the share of the endpoint's connections that this instance may use. */
+  /** Sets the number of connections to the endpoint that this instance may use. */
   setMaxConnections(maxConnections: number): void {
     this.agent.maxSockets = maxConnections;
     this.agent.maxFreeSockets = maxConnections;
   }
 
-  /** Notes that the endpoint itself says that it is leaving. */
+  /** Marks the endpoint as leaving; it receives no more requests. */
   leaving(): void {
     this.#isLeaving = true;
   }
 
-  /** Work on its way from this instance. */
+  /** Work in flight from this instance. */
   get ownWork(): EndpointWork {
     const last = this.#pendingPrefillTokens.findLastIndex((tokens) => tokens > 0);
     const tokens = this.#pendingPrefillTokens.slice(0, last + 1).map(Math.round);
     return [this.#listed.id, tokens, this.#inFlight];
   }
 
-  /** Takes in the work that all other instances have on its way there. */
+  /** Stores the work that all other instances have in flight to the endpoint. */
   share([, tokens, requests]: EndpointWork): void {
     this.#remoteWork = { tokens, requests, at: this.#timer.now() };
   }
 
-  /** Requests that run or wait there, from all instances. */
+  /** Estimated requests of all instances that run or wait at the endpoint. */
   requests(instances: number): number {
     return this.#isRemoteWorkFresh
       ? this.#inFlight + this.#remoteWork.requests
       : this.#inFlight * instances;
   }
 
-  /** Notes prompt tokens that were sent, or with a negative number, that have been read. */
+  /** Adds prompt tokens that were sent; a negative number removes tokens whose prefill has ended. */
   queue(rank: number, tokens: number): void {
     const at = Math.min(URGENCY_LEVELS - 1, Math.max(0, rank));
     this.#pendingPrefillTokens[at] = (this.#pendingPrefillTokens[at] ?? 0) + tokens;
   }
 
-  /** The endpoint as a request of a rank sees it: what is less urgent waits behind it. */
+  /** View for a request of a rank; tokens of less urgent requests are left out, as they wait behind it. */
   engineView({
     dataCentre,
     instances,
@@ -173,7 +177,7 @@
     slots,
   }: EngineViewOptions): EnginePlace & { readonly endpoint: Endpoint } {
     const isFresh = this.#isRemoteWorkFresh;
-    // Without news of the others, they are taken to do as this instance does.
+    // Without fresh remote work, every other instance is assumed to have the same work as this one.
     const own = sumUpToRank(this.#pendingPrefillTokens, rank) * (isFresh ? 1 : instances);
     return {
       key: this.#listed.id,
@@ -207,7 +211,7 @@
     this.#inFlight -= 1;
   }
 
-  /** Notes that a request which was sent at a time has begun to run. */
+  /** Records that a request has started to run which was sent at `sentAt`. */
   executionStarted(rank: number, sentAt: number): void {
     this.#latestStartedSentAt.set(
       rank,
@@ -216,8 +220,8 @@
   }
 
   /**
-   * Whether a request that is no more urgent, and was sent clearly later, has begun to run: then
-   * the answer to an earlier one that is still silent is probably lost.
+   * Whether a request that is not more urgent and was sent clearly later has started to run. If so, the
+   * response to an earlier request without a response is probably lost.
    */
   hasOvertaken(rank: number, sentAt: number): boolean {
     return [...this.#latestStartedSentAt].some(
@@ -225,7 +229,7 @@
     );
   }
 
-  /** Takes in the load that the endpoint states with an answer. */
+  /** Records the load that the endpoint reports in a response. */
   observeLoad({ running, waiting }: ReportedLoad): void {
     this.#remoteRequests = Math.max(0, running + waiting - this.#inFlight);
     this.#remoteRequestsAt = this.#timer.now();
@@ -236,23 +240,23 @@
     this.#responseBreaker.succeeded();
   }
 
-  /** Notes an answer that failed or broke off. */
+  /** Records a failed or incomplete response. */
   failed(): void {
     this.#connectBreaker.abandoned();
-    this.#recordFailure(this.#responseBreaker, 'answers fail');
+    this.#recordFailure(this.#responseBreaker, 'consecutive failed responses');
   }
 
-  /** Notes that something has come from the endpoint. */
+  /** Records that data was received from the endpoint. */
   seen(): void {
     this.#lastSeenAt = this.#timer.now();
   }
 
-  /** Whether anything has come from the endpoint after a time. */
+  /** Whether data was received from the endpoint after a time. */
   seenSince(time: number): boolean {
     return this.#lastSeenAt > time;
   }
 
-  /** Tries a new connection; if none is made, spares the endpoint and calls back. */
+  /** Probes the endpoint by a new connection; if that fails, ejects the endpoint and calls back. */
   probe(onUnreachable: () => void): void {
     this.#probe.check(() => {
       this.unreachable();
@@ -260,19 +264,19 @@
     });
   }
 
-  /** Notes a connection that could not be made; the endpoint is spared from now on. */
+  /** Records a failed connection, which ejects the endpoint. */
   unreachable(): void {
     this.#responseBreaker.abandoned();
     this.#recordFailure(this.#connectBreaker, 'no connection');
   }
 
-  /** Notes a request that the endpoint turned away, full or as another incarnation. */
+  /** Records a rejection by the endpoint: it is full, or it is another incarnation (misdirected). */
   refused(isMisdirected: boolean): void {
     if (isMisdirected) this.#isLeaving = true;
     this.abandoned();
   }
 
-  /** Notes a request that ended without saying anything on the endpoint. */
+  /** Records a request whose end tells nothing about the endpoint's health. */
   abandoned(): void {
     this.#connectBreaker.abandoned();
     this.#responseBreaker.abandoned();
--- a/packages/gateway/src/lib/EndpointDirectory.ts
+++ b/packages/gateway/src/lib/EndpointDirectory.ts
@@ -5,16 +5,16 @@
 import type { PoolName } from './ids';
 import type { ListedEndpoint } from './Wire';
 
-/** Share of an endpoint's connections that all instances use together: others may come. */
+/** Fraction of an endpoint's connections that all instances use together; the rest is for new instances. */
 const CONNECTION_SHARE = 0.8;
 
-/** Connections that an instance may open in any case. */
+/** Minimum number of connections to an endpoint that an instance may open. */
 const MIN_CONNECTIONS = 4;
 
-/** Connections to an endpoint of a pool that no configuration describes. */
+/** Maximum number of connections to an endpoint whose pool is not in the configuration. */
 const DEFAULT_MAX_CONNECTIONS = 64;
 
-/** Endpoints of all pools, as the list and their own answers say. @internal */
+/** Endpoints of all pools, by the latest list of endpoints. @internal */
 export class EndpointDirectory implements Disposable {
   readonly #timer: Timer;
 
@@ -26,13 +26,13 @@
 
   #loadedAt = -Infinity;
 
-  /** Connections that an endpoint of a pool takes from all instances. */
+  /** Maximum number of connections of all instances to one endpoint of a pool. */
   maxConnections: (pool: PoolName) => number | undefined = () => undefined;
 
-  /** Called when the list is known for the first time. */
+  /** Called when the first list is loaded. */
   onLoaded: () => void = () => {};
 
-  /** Instances that share the endpoints. */
+  /** Number of instances that share the endpoints. */
   instances: () => number = () => 1;
 
   constructor(timer: Timer, journal: Journal) {
@@ -44,7 +44,7 @@
     return this.#loadedAt > -Infinity;
   }
 
-  /** Time since the list was last read, in milliseconds. */
+  /** Time since the list was last replaced, in milliseconds. */
   get ageMs(): number {
     return this.#timer.now() - this.#loadedAt;
   }
@@ -53,14 +53,14 @@
     return this.#pools.get(pool) ?? [];
   }
 
-  /** Work that this instance has on its way to endpoints. */
+  /** Work that this instance has in flight to endpoints. */
   ownWork(): EndpointWork[] {
     return [...this.#endpoints.values()]
       .filter(({ isBusy }) => isBusy)
       .map(({ ownWork }) => ownWork);
   }
 
-  /** Takes in the work of all other instances; endpoints that aren't named have none. */
+  /** Stores the work of all other instances; endpoints that are not listed have none. */
   share(work: readonly EndpointWork[]): void {
     const byId = new Map(work.map((item) => [item[0], item]));
     for (const endpoint of this.#endpoints.values()) {
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Takes over a whole list; endpoints that it doesn't name get no more requests. */
+  /** Replaces the list; endpoints that are not in it receive no more requests. */
   replace(listed: readonly ListedEndpoint[]): void {
     const before = this.#endpoints;
     const after = new Map<string, Endpoint>();
--- a/packages/gateway/src/lib/EndpointListReader.ts
+++ b/packages/gateway/src/lib/EndpointListReader.ts
@@ -4,22 +4,22 @@
 import { listedEndpointsSchema } from './listedEndpointsSchema';
 import type { ListedEndpoint, PlatformCalls } from './Wire';
 
-/** Interval of reading while all is well, in milliseconds: a third of a short drain. */
+/** Regular interval between reads, in milliseconds: a third of a short drain. */
 const READ_INTERVAL_MS = 1000;
 
-/** Longest interval, in milliseconds: an endpoint must be left before its drain is over. */
+/** Maximum interval, in milliseconds: requests to a draining endpoint must stop before its drain ends. */
 const MAX_READ_INTERVAL_MS = 1500;
 
-/** Age of the list at which an instance that is told nothing reads by itself, in milliseconds. */
+/** Age at which an instance that receives no list from the leader reads it itself, in milliseconds. */
 const STALE_LIST_MS = 1600;
 
-/** Interval of looking whether a list is due, in milliseconds; nothing is served before the first. */
+/** Interval of checks whether a read is due, in milliseconds. No request is served before the first list. */
 const CHECK_INTERVAL_MS = 200;
 
-/** Part of the platform's calls that reading may use; duties need the rest. */
+/** Fraction of the platform's call limit for reading the list; duties need the rest. */
 const PLATFORM_CALL_SHARE = 0.5;
 
-/** Pages after which a list is taken as endless. */
+/** Maximum number of pages of one list, as a guard against endless paging. */
 const MAX_PAGES = 200;
 
 /** @internal */
@@ -30,15 +30,16 @@
   readonly journal: Journal;
   readonly callsPerS: number;
   readonly instances: () => number;
-  /** Whether this instance reads for all others. */
+  /** Whether this instance reads the list for all instances. */
   readonly isReader: () => boolean;
-  /** Tells all others a list. */
+  /** Publishes a list to all other instances. */
   readonly publish: (listed: readonly ListedEndpoint[]) => void;
 }
 
 /**
- * Keeps the list of endpoints: one instance reads it for all and tells the others; one that is told
- * nothing for a while reads by itself. A list that can't be read in full is not used.
+ * Keeps the list of endpoints up to date. One instance reads it from the platform and publishes it to
+ * all others. An instance that receives no list for a while reads it itself. A list of which a page
+ * cannot be read is not used.
  * @internal
  */
 export class EndpointListReader implements Disposable {
@@ -61,7 +62,7 @@
     this.#check();
   }
 
-  /** Takes a list that another instance has read. */
+  /** Applies a list that another instance has published. */
   receive(value: unknown): void {
     const listed = listedEndpointsSchema.safeParse(value);
     if (listed.success) this.#options.directory.replace(listed.data as ListedEndpoint[]);
--- a/packages/gateway/src/lib/Gateway.ts
+++ b/packages/gateway/src/lib/Gateway.ts
@@ -36,21 +36,25 @@
   readonly metrics: Metrics;
 }
 
-/** Instances assumed until the leader has counted them: budgets must hold for many. */
+/**
+ * Number of instances assumed until the leader has counted them. It is high so that the shared
+ * budgets hold even in a large deployment.
+ */
 const ASSUMED_INSTANCES = 64;
 
-/** Time for the balancer to notice that the instance isn't ready, in milliseconds. */
+/** Time within which the load balancer detects that the instance is not ready, in milliseconds. */
 const BALANCER_NOTICE_MS = 2600;
 
-/** Time before the end of the grace in which what is left is cut, in milliseconds. */
+/** Time before the end of the grace period at which open requests are cut, in milliseconds. */
 const CUT_MARGIN_MS = 500;
 
+/** Interval at which open requests are checked during a stop, in milliseconds. */
 const DRAIN_POLL_MS = 100;
 
-/** Interval at which instances tell each other their work, in milliseconds: a few engine steps. */
+/** Interval at which instances exchange their work in flight, in milliseconds: a few engine steps. */
 const WORK_SHARE_INTERVAL_MS = 100;
 
-/** Routes requests of callers to the endpoints of pools, by a configuration from the registry. @public */
+/** Routes callers' requests to the endpoints of pools by a configuration from the registry. @public */
 export class Gateway extends Task {
   readonly name = 'gateway';
 
@@ -91,7 +95,7 @@
 
   #isStopping = false;
 
-  /** Whether new requests on kept connections are refused, as they might not end in time. */
+  /** Whether new requests on persistent connections are rejected, as they might not end in time. */
   #isRejecting = false;
 
   #wasReady = false;
@@ -146,14 +150,14 @@
     this.#startUsageReporter();
   }
 
-  /** Takes over settings that were read again; only the seeds may change while it runs. */
+  /** Applies reloaded settings; only the seeds may change at run time. */
   reload(settings: GatewaySettings): void {
     this.#settings = settings;
     const { seeds } = settings;
     this.#options.journal.record(gatewayEvents.settingsReloaded, { seeds });
   }
 
-  /** Ceases to be ready, serves what is open, and ends before the grace is over. */
+  /** Reports not ready, serves open requests, and stops before the grace period ends. */
   override async stop(): Promise<void> {
     const { timer, settings } = this.#options;
     this.#isStopping = true;
@@ -183,10 +187,10 @@
   }
 
   protected override handle(): void {
-    // Requests come over HTTP, news over links.
+    // Not used: requests arrive over HTTP, messages of other instances over links.
   }
 
-  /** Addresses between instances of the seeds. */
+  /** Mesh addresses of the seeds. */
   get #seeds(): string[] {
     const { seeds, meshPort } = this.#settings;
     return seeds.map((seed) => `${seed.slice(0, seed.lastIndexOf(':'))}:${meshPort}`);
--- a/packages/gateway/src/lib/HttpListener.ts
+++ b/packages/gateway/src/lib/HttpListener.ts
@@ -1,16 +1,16 @@
 import type { Server } from 'node:http';
 import { listenOn } from '@berylwood/link';
 
-/** An HTTP server on an address of its own. @internal */
+/** Base class of HTTP servers that listen on their own address. @internal */
 export abstract class HttpListener {
   protected abstract readonly server: Server;
 
-  /** Listens on `IP:PORT` and resolves to the address in use. */
+  /** Listens on `IP:PORT` and resolves to the bound address. */
   listen(address: string): Promise<string> {
     return listenOn(this.server, address);
   }
 
-  /** Stops listening and drops open connections, without waiting for them. */
+  /** Stops listening and closes open connections immediately. */
   close(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/packages/gateway/src/lib/OperatorServer.ts
+++ b/packages/gateway/src/lib/OperatorServer.ts
@@ -8,23 +8,23 @@
 import { sendFailure } from './sendFailure';
 import type { Wire } from './Wire';
 
-/** Largest configuration; thousands of routes fit. */
+/** Maximum size of a configuration, in bytes; thousands of routes fit. */
 const MAX_CONFIGURATION_BYTES = 16 * 1024 * 1024;
 
-/** Time after which operators should ask another instance again, in milliseconds. */
+/** Time after which operators should retry on another instance, in milliseconds. */
 const RETRY_AFTER_MS = 200;
 
-/** Interval at which connections are checked, in milliseconds. */
+/** Time for which idle connections of operators are kept open, in milliseconds. */
 const KEEP_ALIVE_MS = 30_000;
 
-/** Parts that the server needs. @internal */
+/** @internal */
 export interface OperatorServerOptions {
   readonly wire: Wire;
   readonly mesh: Mesh;
   readonly journal: Journal;
 }
 
-/** Takes configurations from operators and reads the newest one back. @internal */
+/** HTTP server for operators: PUT commits a configuration, GET returns the newest one. @internal */
 export class OperatorServer extends HttpListener {
   readonly #options: OperatorServerOptions;
 
@@ -68,7 +68,7 @@
       return;
     }
     const { isStored, version: storedVersion } = result.value;
-    this.#logCall(isStored ? 'stored' : 'kept', version, `version ${storedVersion} is held`);
+    this.#logCall(isStored ? 'stored' : 'kept', version, `stored version is ${storedVersion}`);
     this.#sendJson(response, Buffer.from(JSON.stringify({ version: storedVersion })));
   }
 
@@ -86,7 +86,7 @@
     this.#sendJson(response, inflateRawSync(result.value.body));
   }
 
-  /** Answers that the newest configuration is not known or not committed. */
+  /** Responds with 503 and Retry-After when a configuration could not be committed or read. */
   #postpone(response: ServerResponse, version: number | undefined, failure: Failure): void {
     this.#logCall('postponed', version, failure.message);
     const headers = { 'Retry-After': String(RETRY_AFTER_MS / 1000), 'Content-Type': 'text/plain' };
--- a/packages/gateway/src/lib/ReadinessServer.ts
+++ b/packages/gateway/src/lib/ReadinessServer.ts
@@ -1,7 +1,7 @@
 import { createServer, type Server } from 'node:http';
 import { HttpListener } from './HttpListener';
 
-/** Tells the balancer whether the instance takes new connections. @internal */
+/** Health check for the load balancer: 200 if the instance takes new connections, else 503. @internal */
 export class ReadinessServer extends HttpListener {
   protected readonly server: Server;
 
--- a/packages/gateway/src/lib/UsageReporter.ts
+++ b/packages/gateway/src/lib/UsageReporter.ts
@@ -14,30 +14,34 @@
   readonly timer: Timer;
   readonly journal: Journal;
   readonly windowS: number;
-  /** Time for which a new leader leaves the duty alone, in milliseconds. */
+  /** Time for which a new leader does not report, in milliseconds. */
   readonly pauseMs: number;
 }
 
 /** Time after a window's end for the last counts of all instances to arrive, in milliseconds. */
 const MIN_SETTLE_MS = 2000;
 
-/** Longest wait for an instance that is cut off; reports are due ten seconds after the window. */
+/**
+ * Maximum wait for the counts of a partitioned instance after a window's end, in milliseconds. Reports
+ * are due ten seconds after the window.
+ */
 const MAX_SETTLE_MS = 8500;
 
-/** Time after a window's end from which a report holds all of it, in milliseconds. */
+/** Time after a window's end from which an instance's counts include the complete window, in milliseconds. */
 const REPORT_MARGIN_MS = 500;
 
 const TICK_MS = 500;
 
-/** Windows that a new leader reports again, since their reports may not have arrived. */
+/** Number of windows that a new leader reports again, as earlier reports may not have arrived. */
 const REREPORTED_WINDOWS = 3;
 
-/** Windows that are closed late after a pause of leadership. */
+/** Maximum number of overdue windows that are closed after a time without a leader. */
 const MAX_OVERDUE_WINDOWS = 12;
 
 /**
- * Reports the usage of each window, on the leader only. The counts are frozen in the log before
- * the first report, so that all reports of a window are equal, whoever sends them.
+ * Reports the usage of each window to the platform, on the leader only. The counts are frozen in the
+ * replicated log before the first report, so that all reports of a window are equal, whichever leader
+ * sends them.
  * @internal
  */
 export class UsageReporter implements Disposable {
@@ -47,12 +51,12 @@
 
   readonly #firstWindow: number;
 
-  /** Windows that this leader has reported in its term. */
+  /** Windows reported in the current term. */
   #reported = new Set<number>();
 
   #term = 0;
 
-  /** Term in which the platform refused a report since it had seen a higher fence. */
+  /** Term in which the platform rejected a report because it had seen a higher fence. */
   #fencedTerm = -1;
 
   #isBusy = false;
@@ -118,7 +122,7 @@
     }
   }
 
-  /** Whether the counts of a window have come from all instances, or are waited for no longer. */
+  /** Whether all instances have sent their counts of a window, or the maximum wait has passed. */
   #isSettled(window: number): boolean {
     const { mesh, clock, windowS } = this.#options;
     const endMs = (window + 1) * windowS * 1000;
