--- a/packages/gateway/src/lib/Attempt.test.ts
+++ b/packages/gateway/src/lib/Attempt.test.ts
@@ -15,7 +15,7 @@
   closesConnection: true,
 };
 
-/** Takes all headers as they are. */
+/** Wire format that ignores all headers. */
 class PlainWire extends Wire {
   readonly paths = { readiness: '/ready', configuration: '/configuration' };
 
@@ -40,7 +40,7 @@
   }
 }
 
-/** An endpoint that answers each connection by a function. */
+/** Creates an endpoint that serves each connection by a function. */
 async function createEndpoint(answer: (socket: Socket) => void) {
   const server = createServer((socket) => {
     socket.on('error', () => {});
@@ -86,12 +86,12 @@
       onEnd: (end: AttemptEnd) => resolve({ end, head, body }),
     };
     const parts = { wire: new PlainWire(), timer: new SystemTimer() };
-    // eslint-disable-next-line no-new -- the attempt reports to its listener
+    // eslint-disable-next-line no-new -- the listener receives the result
     new Attempt(endpoint, outgoing, listener, parts);
   });
 }
 
-test('an answer without a length is complete when the connection is closed in order', async () => {
+test('a response without a length is complete when the connection is closed normally', async () => {
   const { endpoint, close } = await createEndpoint((socket) => {
     socket.end('HTTP/1.1 200 OK\r\n\r\nwhole');
   });
@@ -101,7 +101,7 @@
   close();
 });
 
-test('an answer without a length that is reset on the way is broken', async () => {
+test('a response without a length is broken when the connection is reset', async () => {
   const { endpoint, close } = await createEndpoint((socket) => {
     socket.write('HTTP/1.1 200 OK\r\n\r\nhalf', () => {
       setTimeout(() => socket.resetAndDestroy(), 50);
@@ -112,7 +112,7 @@
   close();
 });
 
-test('a refused connection proves that nothing was sent', async () => {
+test('an attempt with a refused connection ends as unsent and ejects the endpoint', async () => {
   const { endpoint, close } = await createEndpoint(() => {});
   close();
   const { end } = await send(endpoint);
@@ -120,7 +120,7 @@
   assert.equal(endpoint.isUsable, false);
 });
 
-test('a connection that breaks after the request was sent leaves the outcome unknown', async () => {
+test('an attempt whose connection breaks after the request was sent ends as broken', async () => {
   const { endpoint, close } = await createEndpoint((socket) => socket.destroy());
   const { end } = await send(endpoint);
   assert.equal(end.type, 'broken');
--- a/packages/gateway/src/lib/EndpointListReader.test.ts
+++ b/packages/gateway/src/lib/EndpointListReader.test.ts
@@ -58,7 +58,7 @@
   }
 }
 
-test('the reader reads about once a second and tells all others', async () => {
+test('the reader reads the list about once a second and publishes it', async () => {
   const { timer, platform, published, reader } = createReader(true);
   reader.open();
   await advance(timer, 10_000);
@@ -66,7 +66,7 @@
   assert.equal(published.length, platform.calls);
 });
 
-test('an instance that is told the list does not read it', async () => {
+test('an instance that receives the list does not read it', async () => {
   const { timer, platform, directory, reader } = createReader(false);
   reader.receive([endpoint('e-2')]);
   reader.open();
@@ -78,7 +78,7 @@
   assert.equal(directory.endpointsOf(asId<'pool'>('pool')).length, 1);
 });
 
-test('an instance that is told nothing reads well within the drain of an endpoint', async () => {
+test('an instance that receives no list reads it well within the drain of an endpoint', async () => {
   const { timer, platform, directory, reader } = createReader(false);
   reader.receive([endpoint('e-2')]);
   reader.open();
@@ -87,7 +87,7 @@
   assert.equal(directory.endpointsOf(asId<'pool'>('pool'))[0]?.listed.id, 'e-1');
 });
 
-test('what is no list of endpoints is refused', () => {
+test('an invalid list is ignored', () => {
   const { directory, reader } = createReader(false);
   reader.receive([{ id: 'e-1' }]);
   assert.equal(directory.isLoaded, false);
--- a/packages/gateway/src/lib/EventScanner.test.ts
+++ b/packages/gateway/src/lib/EventScanner.test.ts
@@ -6,7 +6,7 @@
   return `id: ${id}\ndata: text ${id}\n\n`;
 }
 
-test('only whole events are passed on', () => {
+test('only complete events are forwarded', () => {
   const scanner = new EventScanner();
   const bytes = Buffer.from(event(1) + event(2));
   const first = scanner.push(bytes.subarray(0, 30));
@@ -18,7 +18,7 @@
   assert.equal(scanner.hasPartialEvent, false);
 });
 
-test('a stream cut at any byte yields the same events', () => {
+test('a stream split at any byte yields the same events', () => {
   const bytes = Buffer.from(event(1) + event(2) + event(3));
   for (let cut = 0; cut <= bytes.length; cut += 1) {
     const scanner = new EventScanner();
@@ -27,7 +27,7 @@
   }
 });
 
-test('a resumed stream leaves out what was passed on and drops the unfinished event', () => {
+test('a resumed stream skips events already forwarded and replaces the partial event', () => {
   const scanner = new EventScanner();
   scanner.push(Buffer.from(`${event(1)}${event(2)}id: 3\nda`));
   scanner.dropPartialEvent();
--- a/packages/gateway/src/lib/ReachabilityProbe.test.ts
+++ b/packages/gateway/src/lib/ReachabilityProbe.test.ts
@@ -6,10 +6,10 @@
 import { SystemTimer } from '@berylwood/base';
 import { CONNECT_TIMEOUT_MS, ReachabilityProbe } from './ReachabilityProbe';
 
-/** Connections that a listener with a backlog of one takes before it drops the next. */
+/** Number of connections that fill the queue of a listener with a backlog of one. */
 const BACKLOG_FILLERS = 4;
 
-/** Whether an endpoint is found out of reach in about the time of a connection. */
+/** Whether a probe finds the endpoint unreachable within three connect timeouts. */
 async function isUnreachable(address: string): Promise<boolean> {
   const probe = new ReachabilityProbe(address, new SystemTimer());
   return new Promise((resolve) => {
@@ -18,7 +18,7 @@
   });
 }
 
-test('an endpoint that takes connections or refuses them is in reach', async () => {
+test('an endpoint that accepts or refuses connections is reachable', async () => {
   const server = createServer((socket) => socket.on('error', () => {}));
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
@@ -29,7 +29,7 @@
   assert.equal(await isUnreachable(`127.0.0.1:${port}`), false);
 });
 
-test('an endpoint that answers no connection is out of reach', async () => {
+test('an endpoint that does not respond to a connection is unreachable', async () => {
   const script = `const server = require('node:net').createServer();
     server.listen({ port: 0, host: '127.0.0.1', backlog: 1 }, () => console.log(server.address().port));`;
   const child = spawn(process.execPath, ['-e', script], { stdio: ['ignore', 'pipe', 'inherit'] });
--- a/packages/gateway/src/lib/RetryBudgets.test.ts
+++ b/packages/gateway/src/lib/RetryBudgets.test.ts
@@ -13,7 +13,7 @@
   return taken;
 }
 
-test('all instances together stay within the bound when every request fails', () => {
+test('all instances together stay within the limits when every request fails', () => {
   const instances = 7;
   const requests = 100;
   let retries = 0;
@@ -27,7 +27,7 @@
   assert.ok(retries <= LIMITS.ratio * requests * instances + LIMITS.slack);
 });
 
-test('a budget is divided anew once the instances are known', () => {
+test('a budget is resized when the number of instances is known', () => {
   let instances = 64;
   const budgets = new RetryBudgets(LIMITS, () => instances);
   assert.equal(takeAll(budgets), 1);
--- a/packages/gateway/src/lib/RoutingTable.test.ts
+++ b/packages/gateway/src/lib/RoutingTable.test.ts
@@ -37,20 +37,20 @@
   });
 }
 
-test('the longest prefix that begins the path wins', () => {
+test('the route with the longest matching prefix is chosen', () => {
   const table = createTable();
   assert.equal(table.findRoute('a.example', '/a/b/c')?.name, 'letter');
   assert.equal(table.findRoute('a.example', '/a/c')?.name, 'report');
   assert.equal(table.findRoute('b.example', '/a/c'), undefined);
 });
 
-test('only the least urgent route of a pool is turned away under load', () => {
+test('only the least urgent route of a pool is rejected under load', () => {
   const table = createTable();
   assert.equal(table.isLeastUrgent(report, POOL), true);
   assert.equal(table.isLeastUrgent(letter, POOL), false);
 });
 
-test('targets are drawn by weight', () => {
+test('targets are chosen by weight', () => {
   const other = asId<'pool'>('other');
   const targets = [
     { pool: POOL, weight: 90 },
@@ -60,7 +60,7 @@
   assert.equal(chooseTarget(targets, 0.95)?.pool, other);
 });
 
-test('a more urgent workspace goes first, and within it the more urgent route', () => {
+test('requests are ordered by the urgency of the workspace, then of the route', () => {
   const { configuration } = createTable();
   const first = { name: asId<'workspace'>('v'), keys: ['l'], rank: 0 };
   const [second] = configuration.workspaces ?? [];
--- a/packages/gateway/src/lib/StallDetector.test.ts
+++ b/packages/gateway/src/lib/StallDetector.test.ts
@@ -31,14 +31,14 @@
   return { timer, detector, state, stalls, receiveEvent };
 }
 
-test('a stream that never begins at an endpoint out of reach goes elsewhere within its objective', () => {
+test('a stream without an event on an unreachable endpoint is reported within its objective', () => {
   const { timer, state, stalls } = createDetector();
   state.isUnreachable = true;
   timer.advance(CHAT.objectiveMs);
   assert.equal(stalls[0], 'endpoint out of reach');
 });
 
-test('a running stream that falls silent goes elsewhere before its caller leaves', () => {
+test('a running stream that stalls on an unreachable endpoint is reported before its caller leaves', () => {
   const { timer, state, stalls, receiveEvent } = createDetector();
   for (let event = 0; event < 30; event += 1) {
     timer.advance(100);
@@ -50,7 +50,7 @@
   assert.equal(stalls[0], 'endpoint out of reach');
 });
 
-test('an endpoint that can be reached, or is heard by other requests, keeps its streams', () => {
+test('a stream is not reported while its endpoint is reachable or sends data to other requests', () => {
   const { timer, state, stalls, receiveEvent } = createDetector();
   receiveEvent();
   timer.advance(5000);
@@ -62,7 +62,7 @@
   assert.deepEqual(stalls, []);
 });
 
-test('a stream that later ones have overtaken goes elsewhere, unless it has started', () => {
+test('a stream that later streams have overtaken is reported, unless it has started', () => {
   const late = createDetector();
   late.state.isOvertaken = true;
   late.timer.advance(500);
@@ -74,7 +74,7 @@
   assert.deepEqual(started.stalls, []);
 });
 
-test('a detector that has ended says nothing', () => {
+test('a disposed detector reports nothing', () => {
   const { timer, detector, state, stalls } = createDetector();
   state.isUnreachable = true;
   detector[Symbol.dispose]();
--- a/packages/gateway/src/lib/StartGate.test.ts
+++ b/packages/gateway/src/lib/StartGate.test.ts
@@ -16,7 +16,7 @@
   return { timer, gate, results, hold };
 }
 
-test('requests wait for the first news, but not those whose callers have gone', () => {
+test('held requests are released in order, except those whose callers have disconnected', () => {
   const { gate, results, hold } = createGate();
   hold('first');
   hold('gone')[Symbol.dispose]();
@@ -27,7 +27,7 @@
   assert.equal(gate.isHolding, false);
 });
 
-test('requests are let go a second after the start in any case', () => {
+test('held requests are released one second after the start at the latest', () => {
   const { timer, gate, results, hold } = createGate();
   timer.advance(900);
   hold('late');
@@ -37,7 +37,7 @@
   assert.equal(gate.isHolding, false);
 });
 
-test('a request whose time ends while it waits is told at once', () => {
+test('a held request times out when its deadline passes', () => {
   const { timer, gate, results, hold } = createGate();
   hold('short', 300);
   hold('long', 5000);
--- a/packages/gateway/src/lib/canRetry.test.ts
+++ b/packages/gateway/src/lib/canRetry.test.ts
@@ -15,18 +15,18 @@
   };
 }
 
-test('what may have run is repeated only if its kind allows it', () => {
+test('a request that may have run is retried only if its kind allows it', () => {
   assert.equal(canRetry(input({ kind: 'once' })), false);
   assert.equal(canRetry(input({ kind: 'stream' })), false);
   assert.equal(canRetry(input({ kind: 'stream', isResumable: true })), true);
   assert.equal(canRetry(input({ kind: 'repeatable' })), true);
 });
 
-test('what is proved not to have run goes elsewhere, whatever its kind', () => {
+test('a request that has certainly not run is retried whatever its kind', () => {
   assert.equal(canRetry(input({ kind: 'once', isNotRun: true })), true);
 });
 
-test('attempts, misses and time are bounded', () => {
+test('attempts, connection errors and time are limited', () => {
   const repeatable = { kind: 'repeatable' } as const;
   assert.equal(canRetry(input({ ...repeatable, sends: 2 })), false);
   assert.equal(canRetry(input({ ...repeatable, connectErrors: 6 })), false);
