--- a/packages/gateway/src/lib/Endpoint.ts
+++ b/packages/gateway/src/lib/Endpoint.ts
@@ -235,6 +235,7 @@
     this.#remoteRequestsAt = this.#timer.now();
   }
 
+  /** Records a complete response without a server error. */
   answered(): void {
     this.#connectBreaker.succeeded();
     this.#responseBreaker.succeeded();
