--- a/packages/consensus/src/index.ts
+++ b/packages/consensus/src/index.ts
@@ -1,4 +1,4 @@
-/** A replicated log to embed: elections, leader lease, snapshots and membership change. */
+/** Embeddable replicated log (Raft) with a leader lease, snapshots and membership changes. */
 export { AdmissionPolicy, ClosedAdmission } from './lib/AdmissionPolicy';
 export { StateMachine } from './lib/StateMachine';
 export { ReplicatedLog, type Applied, type LogStatus } from './lib/ReplicatedLog';
--- a/packages/consensus/src/lib/Disk.ts
+++ b/packages/consensus/src/lib/Disk.ts
@@ -1,27 +1,27 @@
 /**
- * The files of one replica, in one flat folder. A promise that resolves means that the change
- * survives a crash. One that rejects leaves the file unknown: the replica stops.
+ * The files of one replica, in one flat directory. Once a promise resolves, the change survives a
+ * crash. If it rejects, the content of the file is unknown and the replica stops.
  * @public
  */
 export abstract class Disk {
   /** Names of the files, sorted. */
   abstract list(): Promise<string[]>;
 
-  /** The whole file. */
+  /** Returns the complete content of a file. */
   abstract read(name: string): Promise<Uint8Array>;
 
-  /** Appends to a file, which is created if missing. A crash may leave any part of the bytes. */
+  /** Appends to a file, creating it if missing. A crash may leave any part of the bytes. */
   abstract append(name: string, bytes: Uint8Array): Promise<void>;
 
-  /** Replaces the whole file; a crash leaves either the old or the new content. */
+  /** Replaces a file atomically: a crash leaves either the old or the new content. */
   abstract replace(name: string, bytes: Uint8Array): Promise<void>;
 
-  /** Cuts a file to the length in bytes. */
+  /** Truncates a file to a length in bytes. */
   abstract truncate(name: string, length: number): Promise<void>;
 
-  /** Removes a file; one that is missing counts as removed. */
+  /** Removes a file; a missing file is not an error. */
   abstract remove(name: string): Promise<void>;
 
-  /** Releases what is held; no other call may follow. */
+  /** Releases all resources; no other call may follow. */
   abstract close(): Promise<void>;
 }
--- a/packages/consensus/src/lib/Entry.ts
+++ b/packages/consensus/src/lib/Entry.ts
@@ -1,10 +1,10 @@
-/** What an entry of the log holds. @public */
+/** Kind of data in a log entry. @public */
 export enum EntryKind {
-  /** Appended by a new leader, so that entries of older terms become committable. */
+  /** Appended by a new leader, which can commit entries of older terms only with one of its own. */
   Noop = 0,
-  /** A command of the embedder's state machine. */
+  /** A command for the embedder's state machine. */
   Command = 1,
-  /** A membership of the group, encoded by `encodeMembership`. */
+  /** A group membership, encoded by `encodeMembership`. */
   Membership = 2,
 }
 
@@ -16,10 +16,10 @@
   readonly data: Uint8Array;
 }
 
-/** Bytes an entry takes beside its data, for bounds of memory and messages. @internal */
+/** Bytes per entry in addition to its data, counted against memory and message limits. @internal */
 const ENTRY_OVERHEAD_BYTES = 64;
 
-/** Size of an entry as it counts against bounds, in bytes. @internal */
+/** Size of an entry in bytes, as counted against memory and message limits. @internal */
 export function entryBytes(entry: Entry): number {
   return entry.data.byteLength + ENTRY_OVERHEAD_BYTES;
 }
--- a/packages/consensus/src/lib/FileDisk.ts
+++ b/packages/consensus/src/lib/FileDisk.ts
@@ -22,14 +22,14 @@
 }
 
 /**
- * A folder of the file system. Files are synced before a call resolves, and the folder after a
- * file is created, renamed or removed. All calls are asynchronous and leave the event loop free.
+ * Disk in a directory of the file system. Files are synced before a call resolves, and so is the
+ * directory after a file is created, renamed or removed. No call blocks the event loop.
  * @public
  */
 export class FileDisk extends Disk {
   readonly #directory: string;
 
-  /** The file that is appended to, kept open between calls. */
+  /** File opened for appending, kept open between calls. */
   #openFile: { name: string; handle: FileHandle } | undefined;
 
   private constructor(directory: string) {
@@ -38,7 +38,8 @@
   }
 
   /**
-   * Opens a folder, which is created if missing; left-overs of interrupted replacements go.
+   * Opens a directory, creating it if missing, and removes temporary files of interrupted
+   * replacements.
    * @throws the error of the file system.
    */
   static async open(directory: string): Promise<FileDisk> {
--- a/packages/consensus/src/lib/Message.ts
+++ b/packages/consensus/src/lib/Message.ts
@@ -2,8 +2,9 @@
 import type { GroupId, Identity } from './ids';
 
 /**
- * Both clocks of a leader at the moment before it sent a message; echoed in the answer, so that a
- * lease counts from before the sending. Milliseconds, meaningful to the leader only.
+ * Both clocks of a leader, in milliseconds, read just before it sends a message. The reply echoes
+ * the stamp, so that the lease is counted from before the message was sent. Only the leader that
+ * made a stamp can interpret it.
  * @public
  */
 export interface LeaseStamp {
@@ -11,10 +12,10 @@
   readonly wall: number;
 }
 
-/** Asks whether a vote would be granted, without starting a term. @public */
+/** Asks whether the receiver would grant a vote, without starting a term. @public */
 export interface PreVote {
   readonly type: 'preVote';
-  /** Term in which the sender would stand. */
+  /** Term that the sender would start with an election. */
   readonly nextTerm: number;
   readonly lastIndex: number;
   readonly lastTerm: number;
@@ -27,12 +28,12 @@
   readonly granted: boolean;
 }
 
-/** Asks for a vote in the term of the message. @public */
+/** Requests a vote in the term of the message. @public */
 export interface Vote {
   readonly type: 'vote';
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** Term whose leader gave up its lease and asked the sender to stand; 0 if none did. */
+  /** Term whose leader abandoned its lease to transfer leadership to the sender; 0 if none did. */
   readonly transferOf: number;
 }
 
@@ -40,11 +41,11 @@
 export interface VoteReply {
   readonly type: 'voteReply';
   readonly granted: boolean;
-  /** Time for which a lease granted before the voter's restart may still run, in milliseconds. */
+  /** Longest remaining time, in milliseconds, of a lease granted before the voter's restart. */
   readonly leaseRemainingMs: number;
 }
 
-/** Entries after `prevIndex`, or a heartbeat without any. @public */
+/** Entries after `prevIndex`; a heartbeat has none. @public */
 export interface Append {
   readonly type: 'append';
   readonly prevIndex: number;
@@ -54,30 +55,38 @@
   readonly stamp: LeaseStamp;
 }
 
-/** Answer to an append or to the last chunk of a snapshot. @public */
+/**
+ * Reply to an append or to the last chunk of a snapshot. A follower also sends it when more entries
+ * are synced, and to reject the leader of an older term.
+ * @public
+ */
 export interface AppendReply {
   readonly type: 'appendReply';
   readonly accepted: boolean;
-  /** If accepted, the index up to which the log is synced and equal to the leader's. */
+  /** If accepted, the index up to which the log is synced and matches the leader's. */
   readonly match: number;
-  /** If refused, an index at which the logs may agree. */
+  /** If rejected, an index at which the logs may match. */
   readonly hint: number;
   readonly stamp: LeaseStamp;
 }
 
-/** A part of a snapshot. @public */
+/** A chunk of an encoded snapshot. @public */
 export interface SnapshotChunk {
   readonly type: 'snapshotChunk';
   readonly index: number;
   readonly indexTerm: number;
   readonly offset: number;
-  /** Size of the whole snapshot in bytes. */
+  /** Size of the complete snapshot in bytes. */
   readonly totalBytes: number;
   readonly data: Uint8Array;
   readonly stamp: LeaseStamp;
 }
 
-/** Asks for the next part of a snapshot. @public */
+/**
+ * Requests the next chunk of a snapshot. With index 0 it answers a heartbeat while the follower
+ * installs a snapshot, and only echoes the stamp.
+ * @public
+ */
 export interface SnapshotReply {
   readonly type: 'snapshotReply';
   readonly index: number;
@@ -85,18 +94,18 @@
   readonly stamp: LeaseStamp;
 }
 
-/** Tells the receiver to stand at once: the leader has given up its lease. @public */
+/** Asks the receiver to start an election at once; the leader has abandoned its lease. @public */
 export interface TimeoutNow {
   readonly type: 'timeoutNow';
 }
 
-/** A replica with an empty disk asks to be taken in. @public */
+/** Request of a replica with an empty disk to join a group. @public */
 export interface Join {
   readonly type: 'join';
   readonly address: string;
 }
 
-/** Tells a joining replica whether there is a group already. @public */
+/** Reports to a joining replica whether the sender belongs to a group. @public */
 export interface JoinReply {
   readonly type: 'joinReply';
   readonly hasGroup: boolean;
@@ -117,14 +126,15 @@
   | JoinReply;
 
 /**
- * A message between replicas: a plain object with `Uint8Array` for bytes, fit for MessagePack.
+ * A message between replicas: a plain object with `Uint8Array` for bytes, so that MessagePack can
+ * encode it.
  * @public
  */
 export interface Message<Body extends MessageBody = MessageBody> {
-  /** Group of the sender, or empty before it belongs to one. */
+  /** Group of the sender; empty before it belongs to one. */
   readonly group: GroupId | '';
   readonly from: Identity;
-  /** The incarnation that is meant, or empty in messages about joining. */
+  /** The receiver; the incarnation is empty if the sender does not know it, as in `join`. */
   readonly to: {
     readonly replica: Identity['replica'];
     readonly incarnation: Identity['incarnation'] | '';
--- a/packages/consensus/src/lib/ReplicaOptions.ts
+++ b/packages/consensus/src/lib/ReplicaOptions.ts
@@ -6,27 +6,27 @@
 import type { Transport } from './Transport';
 
 /**
- * Switches that break one mechanism each, so that tests can show what it is good for.
+ * Switches for tests. Each one disables a safety mechanism, to show which failures it prevents.
  * @internal
  */
 export interface UnsafeDeviations {
-  /** Stand for election without asking for pre-votes first. */
+  /** Start elections without asking for pre-votes first. */
   readonly skipPreVote?: boolean;
-  /** Grant votes and pre-votes while a granted lease still runs. */
+  /** Grant votes and pre-votes while a granted lease is valid. */
   readonly ignoreGrantedLease?: boolean;
-  /** Lead without waiting for leases that restarted voters may have granted. */
+  /** Lead without waiting for leases that voters may have granted before a restart. */
   readonly skipLeaseWait?: boolean;
-  /** Commit entries of older terms by counting their copies. */
+  /** Commit entries of older terms by counting replicas. */
   readonly commitOlderTerms?: boolean;
   /** Acknowledge entries before they are synced. */
   readonly acknowledgeUnsynced?: boolean;
-  /** Incarnation that an empty disk takes instead of a new one. */
+  /** Incarnation for an empty disk, instead of a new one. */
   readonly incarnation?: Incarnation;
-  /** Trust the lease by the monotonic clock alone. */
+  /** Check the lease against the monotonic clock only. */
   readonly ignoreWallClock?: boolean;
 }
 
-/** Options of a replica; durations in milliseconds, sizes in bytes. @public */
+/** Options of a replica. Durations are in milliseconds, sizes in bytes. @public */
 export interface ReplicaOptions {
   readonly replica: ReplicaName;
   readonly machine: StateMachine;
@@ -35,47 +35,50 @@
   readonly timer: Timer;
   readonly journal: Journal;
   readonly random: Random;
-  /** Where the transports of others reach this replica; kept in the membership. */
+  /** Address of this replica for the transports of its peers; stored in the membership. */
   readonly address?: string;
   /**
-   * Names of the other replicas to ask when the disk is empty. As the founder, the replica also
-   * admits them to the new group as voters.
+   * Names of the other replicas to contact when the disk is empty. The founder also admits them to
+   * the new group as voters.
    */
   readonly seeds?: readonly ReplicaName[];
   /**
-   * Whether a replica with an empty disk founds a group once every seed has answered that it
-   * belongs to none. Exactly one replica of a new group is its founder.
+   * Whether a replica with an empty disk founds a group once every seed has replied that it
+   * belongs to none. Exactly one replica of a new group must be its founder.
    */
   readonly founder?: boolean;
-  /** Decides on replicas that ask to join without having been named; refuses them by default. */
+  /** Decides on join requests of replicas that the membership doesn't name; rejects by default. */
   readonly admission?: AdmissionPolicy;
-  /** Interval of heartbeats; 100 by default. */
+  /** Heartbeat interval; 100 by default. */
   readonly heartbeatMs?: number;
-  /** Length of a lease as a voter grants it; 600 by default. */
+  /** Duration of a lease that a voter grants; 600 by default. */
   readonly leaseMs?: number;
-  /** Least silence of the leader before an election; the greatest is twice that; 700 by default. */
+  /** Minimum time without a leader before an election; the maximum is twice that; 700 by default. */
   readonly electionTimeoutMs?: number;
-  /** Greatest relative difference between the rates of two replicas' clocks; 0.02 by default. */
+  /** Maximum relative difference between the clock rates of two replicas; 0.02 by default. */
   readonly clockRateBound?: number;
-  /** Most proposals that wait for their commit; 8192 by default. */
+  /** Maximum number of proposals that are not applied yet; 8192 by default. */
   readonly maxProposals?: number;
-  /** Most bytes of proposals that wait for their commit; 16 MiB by default. */
+  /** Maximum total size of proposals that are not applied yet; 16 MiB by default. */
   readonly maxProposalBytes?: number;
-  /** Largest command; 1 MiB by default. */
+  /** Maximum size of a command; 1 MiB by default. */
   readonly maxCommandBytes?: number;
-  /** Applied entries after which a snapshot is taken; 4096 by default. */
+  /** Number of applied entries after which a snapshot is taken; 4096 by default. */
   readonly snapshotEntries?: number;
-  /** Applied bytes after which a snapshot is taken; 8 MiB by default. */
+  /** Size of applied entries after which a snapshot is taken; 8 MiB by default. */
   readonly snapshotBytes?: number;
-  /** Entries kept before a snapshot for followers slightly behind; 1024 by default. */
+  /** Entries kept before a snapshot, for followers that are slightly behind; 1024 by default. */
   readonly trailingEntries?: number;
-  /** Largest part of a snapshot in one message; 256 KiB by default. */
+  /** Maximum size of a snapshot chunk in one message; 256 KiB by default. */
   readonly chunkBytes?: number;
-  /** Size of entries in one message and in one sync; 256 KiB by default. */
+  /**
+   * Maximum size of the entries in one message and in one sync, except that a single entry may be
+   * larger; 256 KiB by default.
+   */
   readonly batchBytes?: number;
-  /** Messages with entries that may be unanswered by one follower; 16 by default. */
+  /** Maximum number of unacknowledged messages with entries per follower; 16 by default. */
   readonly maxInflight?: number;
-  /** Size at which a new segment of the log is begun; 4 MiB by default. */
+  /** Size at which the log starts a new segment; 4 MiB by default. */
   readonly segmentBytes?: number;
   /** @internal */
   readonly unsafe?: UnsafeDeviations;
--- a/packages/consensus/src/lib/ReplicaStatus.ts
+++ b/packages/consensus/src/lib/ReplicaStatus.ts
@@ -3,17 +3,17 @@
 import type { Membership } from './Membership';
 import type { LogStatus } from './ReplicatedLog';
 
-/** What an embedder may observe of a replica beside the status of its log. @public */
+/** Status of a replica, in addition to the status of its log. @public */
 export interface ReplicaStatus extends LogStatus {
   readonly identity: Identity;
-  /** The latest membership in the log, committed or not. */
+  /** Latest membership in the log, committed or not. */
   readonly membership: Membership;
-  /** The committed membership; a replacement counts as joining until it is settled. */
+  /** Committed membership; a replacement counts as joining until its joint configuration ends. */
   readonly settledMembership: Membership;
-  /** Why the replica has stopped, if it has. */
+  /** Failure that stopped the replica, if any. */
   readonly failure: Failure | undefined;
   readonly lastIndex: number;
   readonly snapshotIndex: number;
-  /** Syncs of entries since the start. */
+  /** Number of syncs of log entries since the start. */
   readonly syncs: number;
 }
--- a/packages/consensus/src/lib/files.ts
+++ b/packages/consensus/src/lib/files.ts
@@ -1,6 +1,6 @@
-/** Names of the files of a replica and the order in which they are read. */
+/** Names of the files of a replica, and their order. */
 
-/** Digits of numbers in file names, so that names sort by number. */
+/** Zero-padded width of numbers in file names, so that names sort by number. */
 const DIGITS = 15;
 const SEGMENT_PATTERN = /^log-(\d+)$/;
 const SNAPSHOT_PATTERN = /^snapshot-(\d+)$/;
--- a/packages/consensus/src/lib/frame.ts
+++ b/packages/consensus/src/lib/frame.ts
@@ -1,20 +1,20 @@
 import { crc32 } from 'node:zlib';
 
-/** Start of each frame: the letters BWLG. */
+/** Magic number at the start of each frame: "BWLG" in ASCII. */
 const MAGIC = 0x42574c47;
 
-/** Magic, version, two reserved bytes, body length, checksum of the body, checksum of the header. */
+/** Magic, version, two reserved bytes, body length, body checksum, header checksum. */
 const HEADER_BYTES = 20;
 const VERSION_OFFSET = 4;
 const LENGTH_OFFSET = 8;
 const BODY_CHECKSUM_OFFSET = 12;
 const HEADER_CHECKSUM_OFFSET = 16;
 
-/** A checksummed part of a file. @internal */
+/** A versioned and checksummed record in a file. @internal */
 export interface Frame {
   readonly version: number;
   readonly body: Buffer;
-  /** Offset in the file of the byte after the frame. */
+  /** File offset of the first byte after the frame. */
   readonly end: number;
 }
 
@@ -31,7 +31,7 @@
   return frame;
 }
 
-/** The frame at an offset, or undefined when none is whole and unaltered there. @internal */
+/** Decodes the frame at an offset; undefined if it is incomplete or corrupt. @internal */
 export function decodeFrame(bytes: Uint8Array, offset: number): Frame | undefined {
   const rest = Buffer.from(bytes.buffer, bytes.byteOffset + offset, bytes.byteLength - offset);
   if (rest.byteLength < HEADER_BYTES || rest.readUInt32BE(0) !== MAGIC) return undefined;
@@ -45,7 +45,7 @@
   return { version, body, end: offset + HEADER_BYTES + length };
 }
 
-/** Whether a whole frame begins anywhere after the offset. @internal */
+/** Whether a complete frame starts anywhere after the offset. @internal */
 export function hasCompleteFrameAfter(bytes: Uint8Array, offset: number): boolean {
   const buffer = Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
   const magic = Buffer.alloc(4);
--- a/packages/consensus/src/lib/ids.ts
+++ b/packages/consensus/src/lib/ids.ts
@@ -1,12 +1,12 @@
 import { asId, createId, type Id } from '@berylwood/base';
 
-/** Name of a replica, given by its settings; stays the same over changes of its disk. @public */
+/** Name of a replica, from its settings; unchanged when its disk is replaced. @public */
 export type ReplicaName = Id<'replica'>;
 
-/** One life of a replica's disk; created together with the disk. @public */
+/** Identifies one disk of a replica; a replaced or wiped disk gets a new incarnation. @public */
 export type Incarnation = Id<'incarnation'>;
 
-/** One group of replicas that share a log. @public */
+/** Identifies a group of replicas that share a log. @public */
 export type GroupId = Id<'group'>;
 
 /** Brands a name taken from settings. @public */
@@ -14,17 +14,17 @@
   return asId<'replica'>(name);
 }
 
-/** A fresh incarnation, for an empty disk. @internal */
+/** Creates an incarnation for an empty disk. @internal */
 export function createIncarnation(): Incarnation {
   return createId<'incarnation'>('incarnation');
 }
 
-/** The id of a new group. @internal */
+/** Creates the id of a new group. @internal */
 export function createGroupId(): GroupId {
   return createId<'group'>('group');
 }
 
-/** A replica together with the life of its disk: what votes, acknowledges and leads. @public */
+/** A replica and its incarnation, the unit that votes, acknowledges and leads. @public */
 export interface Identity {
   readonly replica: ReplicaName;
   readonly incarnation: Incarnation;
--- a/packages/consensus/src/lib/isMessage.ts
+++ b/packages/consensus/src/lib/isMessage.ts
@@ -10,7 +10,7 @@
 const isBoolean: Predicate = (value) => typeof value === 'boolean';
 const isBytes: Predicate = (value) => value instanceof Uint8Array;
 
-/** Whether a value is a count: an index, a term, an offset or a size. */
+/** Whether a value is a valid index, term, offset or size. */
 const isCount: Predicate = (value) => Number.isSafeInteger(value) && (value as number) >= 0;
 
 function hasShape(shape: Shape): Predicate {
@@ -27,7 +27,7 @@
 const isEntry = hasShape({ index: isCount, term: isCount, kind: isKind, data: isBytes });
 const isEntries: Predicate = (value) => Array.isArray(value) && value.every(isEntry);
 
-/** Fields of each kind of message beside its type. */
+/** Fields of each message type, apart from `type` itself. */
 const BODY_SHAPES: Readonly<Record<MessageBody['type'], Shape>> = {
   preVote: { nextTerm: isCount, lastIndex: isCount, lastTerm: isCount },
   preVoteReply: { nextTerm: isCount, granted: isBoolean },
@@ -71,8 +71,8 @@
 });
 
 /**
- * Whether a value that came from another process has the form of a message. A transport checks it
- * before it passes the value on.
+ * Whether a value received from another process has the shape of a message. A transport checks
+ * this before it passes the value on.
  * @public
  */
 export function isMessage(value: unknown): value is Message {
--- a/packages/consensus/src/lib/migrations.ts
+++ b/packages/consensus/src/lib/migrations.ts
@@ -4,10 +4,10 @@
 import type { Frame } from './frame';
 import { RECORD_VERSION } from './records';
 
-/** Kinds of record that are kept in files. @internal */
+/** Kinds of records in the files of a replica. @internal */
 export type RecordKind = 'entries' | 'snapshot' | 'state' | 'identity';
 
-/** A named step that turns the body of a record of one version into that of the next. @internal */
+/** Converts the body of a record from version `from` to the next one. @internal */
 export interface Migration {
   readonly name: string;
   readonly kind: RecordKind;
@@ -15,10 +15,13 @@
   readonly apply: (body: Buffer) => Buffer;
 }
 
-/** Steps from older versions, in any order. A kind without a step is the same in both versions. */
+/** In any order. A kind without a migration from a version is unchanged in the next one. */
 const MIGRATIONS: readonly Migration[] = [];
 
-/** The body of a record in the present version. @internal */
+/**
+ * Converts a record to the target version. Fails with `versionUnknown` if the record is newer.
+ * @internal
+ */
 export function migrate(
   kind: RecordKind,
   frame: Pick<Frame, 'version' | 'body'>,
@@ -26,7 +29,7 @@
   target = RECORD_VERSION,
 ): Result<Buffer, Failure> {
   if (frame.version > target) {
-    const message = `record of kind ${kind} has version ${frame.version}, known is ${target}`;
+    const message = `${kind} record has version ${frame.version}; the newest supported version is ${target}`;
     return err(new Failure(consensusCodes.versionUnknown, message));
   }
   let { body } = frame;
--- a/packages/consensus/src/lib/records.ts
+++ b/packages/consensus/src/lib/records.ts
@@ -2,31 +2,34 @@
 import type { GroupId, Identity, Incarnation } from './ids';
 import { decodeMembership, encodeMembership, type Membership } from './Membership';
 
-/** Version in which records are written. @internal */
+/** Format version of the records that are written. @internal */
 export const RECORD_VERSION = 1;
 
-/** What a vote must not forget. @internal */
+/**
+ * State that must survive a restart. Without it, a replica could vote twice in one term.
+ * @internal
+ */
 export interface HardState {
   readonly term: number;
-  /** Incarnation that got the vote of this term, or empty. */
+  /** Incarnation that this replica voted for in `term`; empty if none. */
   readonly vote: Incarnation | '';
   readonly group: GroupId | '';
-  /** Whether this incarnation has been a member; one that was removed does not ask to join again. */
+  /** Whether this incarnation has ever been a member. A removed one does not ask to join again. */
   readonly wasMember: boolean;
 }
 
-/** A snapshot together with the place in the log that it stands for. @internal */
+/** A snapshot with the index and term of the last entry that it covers. @internal */
 export interface Snapshot {
   readonly index: number;
   readonly term: number;
   readonly membership: Membership;
-  /** Number of the first segment whose entries belong to the log after the snapshot. */
+  /** Number of the first segment whose entries belong to the log; earlier ones are obsolete. */
   readonly firstSegment: number;
   /** State of the embedder's state machine. */
   readonly state: Uint8Array;
 }
 
-/** Kind, index, term and length of the data. */
+/** Kind, index, term and data length. */
 const ENTRY_HEADER_BYTES = 17;
 const INTEGER_BYTES = 6;
 const INDEX_OFFSET = 1;
@@ -60,7 +63,7 @@
       kind: body.readUInt8(offset),
       index: body.readUIntBE(offset + INDEX_OFFSET, INTEGER_BYTES),
       term: body.readUIntBE(offset + TERM_OFFSET, INTEGER_BYTES),
-      // A copy, so that an entry in memory does not keep its whole segment there.
+      // Copied, so that the entry does not keep the buffer of its segment in memory.
       data: new Uint8Array(body.subarray(start, end)),
     });
     offset = end;
@@ -68,7 +71,7 @@
   return entries;
 }
 
-/** Index, term, first segment and length of the membership. */
+/** Index, term, first segment and membership length. */
 const SNAPSHOT_HEADER_BYTES = 22;
 const SNAPSHOT_TERM_OFFSET = 6;
 const SNAPSHOT_SEGMENT_OFFSET = 12;
