--- a/packages/consensus/src/lib/events.ts
+++ b/packages/consensus/src/lib/events.ts
@@ -5,14 +5,14 @@
   replicaOpened: {
     number: 1200,
     level: 'info',
-    meaning: 'A replica has read its disk and takes part in its group.',
+    meaning: 'The replica has read its disk and started.',
     action: 'none',
   },
   roleChanged: {
     number: 1201,
     level: 'info',
     meaning: 'The role of the replica has changed.',
-    action: 'none; look for a partition or a busy machine if it recurs.',
+    action: 'none; check for a network partition or an overloaded machine if it recurs.',
   },
   termStarted: {
     number: 1202,
@@ -24,24 +24,25 @@
     number: 1203,
     level: 'info',
     meaning: 'The replica has founded a new group.',
-    action: 'none; must be seen once in the life of a group.',
+    action: 'none; must occur only once per group.',
   },
   membershipCommitted: {
     number: 1204,
     level: 'info',
-    meaning: 'A change of the membership is committed.',
+    meaning: 'A membership change is committed.',
     action: 'none',
   },
   joinRequested: {
     number: 1205,
     level: 'info',
-    meaning: 'A replica with a new disk asks to join the group.',
+    meaning: 'A replica with a new disk requests to join the group.',
     action: 'none; admit its name if it is expected.',
   },
   tailCut: {
     number: 1206,
     level: 'warn',
-    meaning: 'The log ended in a write that a crash had interrupted; it was cut.',
+    meaning:
+      'The log ended with an incomplete write, as after a crash, and was truncated before it.',
     action: 'none',
   },
   snapshotWritten: {
@@ -53,31 +54,31 @@
   snapshotInstalled: {
     number: 1208,
     level: 'info',
-    meaning: 'The replica has taken its state from a snapshot of the leader.',
-    action: 'none; look for a slow replica if it recurs.',
+    meaning: 'The replica has replaced its state with a snapshot from the leader.',
+    action: 'none; check for a slow replica if it recurs.',
   },
   quorumLost: {
     number: 1209,
     level: 'warn',
-    meaning: 'The leader has not heard from a quorum and steps down.',
-    action: 'Look for a partition.',
+    meaning: 'The leader has not received replies from a quorum in time and steps down.',
+    action: 'Check for a network partition.',
   },
   replicaStopped: {
     number: 1210,
     level: 'error',
     meaning: 'The replica stopped because of a failure.',
-    action: 'Look at the code in the fields and its remedy.',
+    action: 'Follow the remedy for the result code in the fields.',
   },
   termConflict: {
     number: 1211,
     level: 'error',
     meaning: 'Another replica claims to lead the term that this replica leads.',
-    action: 'Two replicas share an incarnation: look for a copied data folder.',
+    action: 'Two replicas share an incarnation: check for a copied data directory.',
   },
   transferStarted: {
     number: 1212,
     level: 'info',
-    meaning: 'The leader hands its leadership over.',
+    meaning: 'The leader has started to transfer its leadership.',
     action: 'none',
   },
 });
