--- a/packages/consensus/src/lib/Core.ts
+++ b/packages/consensus/src/lib/Core.ts
@@ -11,13 +11,13 @@
 import type { ReplicaSettings } from './ReplicaOptions';
 import type { Role, RoleEvent } from './roleMachine';
 
-/** Least time until an election is tried again, as a share of the election timeout. */
+/** Minimum delay before an election is retried, as a fraction of the election timeout. */
 const MIN_RETRY_FRACTION = 0.2;
 
-/** Messages that wait for the disk; more are dropped, as on a network that loses them. */
+/** Limit on messages that wait for the disk; more are dropped, as a lossy network would. */
 const MAX_PENDING_ACTIONS = 1024;
 
-/** A lease that this replica has granted to a leader, by its own monotonic clock. */
+/** A lease that this replica granted to the leader of a term, by its own monotonic clock. */
 interface GrantedLease {
   readonly term: number;
   readonly expiresAt: number;
@@ -28,13 +28,13 @@
   readonly identity: Identity;
   readonly store: LogStore;
   readonly membership: MembershipHistory;
-  /** Time until which a lease granted before a restart may run. */
+  /** Time until which a lease granted before a restart may be valid. */
   readonly preRestartLeaseUntil: number;
 }
 
 /**
- * State that the parts of a replica share: log, term and vote, membership, commit index. Messages
- * wait until the term and vote that they speak for are durable.
+ * State shared by the components of a replica: log, term and vote, membership, commit index.
+ * Messages are sent only once the term and vote that they depend on are durable.
  * @internal
  */
 export class Core {
@@ -56,13 +56,13 @@
 
   electionDeadline = 0;
 
-  /** Whether a snapshot of a leader is being written in place of the log. */
+  /** Whether a snapshot from the leader is being installed in place of the log. */
   installing = false;
 
-  /** Sends an event to the role machine. */
+  /** Sends an event to the role state machine. */
   sendRoleEvent: (event: RoleEvent) => void = () => {};
 
-  /** Called when the commit index has grown. */
+  /** Called when the commit index has advanced. */
   onCommit: () => void = () => {};
 
   /** Called when the disk or the state machine has failed. */
@@ -106,15 +106,15 @@
     return this.#commitIndex;
   }
 
-  /** Index up to which this replica may acknowledge its log. */
+  /** Index up to which this replica may acknowledge entries. */
   get syncedIndex(): number {
     const { unsafe } = this.settings;
     return unsafe.acknowledgeUnsynced ? this.store.lastIndex : this.store.syncedIndex;
   }
 
   /**
-   * Whether this replica may stand for election: also until its removal is committed, as its vote
-   * and its log may be needed for that.
+   * Whether this replica may start elections. It still may until its removal is committed,
+   * because its vote and its log may be needed to commit the removal.
    */
   get isVoter(): boolean {
     const { latest, latestIndex } = this.membership;
@@ -124,7 +124,7 @@
     return latestIndex > this.#commitIndex && isVoterIn(this.membership.at(latestIndex - 1));
   }
 
-  /** Voter sets of which each must agree. */
+  /** Voter sets; a decision needs a quorum of each. */
   get voterSets(): (readonly Incarnation[])[] {
     return voterSets(this.membership.latest);
   }
@@ -138,11 +138,11 @@
     return this.membership.latest.members.filter((member) => !this.isSelf(member));
   }
 
-  /** Adds entries to the log; memberships among them bind at once. */
+  /** Appends entries to the log; memberships among them take effect at once. */
   append(entries: readonly Entry[]): void {
     const [first] = entries;
     if (!first) return;
-    assert(first.index > this.#commitIndex, 'a committed entry must not be replaced');
+    assert(first.index > this.#commitIndex, 'committed entries must not be replaced');
     if (first.index <= this.store.lastIndex) this.membership.truncate(first.index);
     this.store.append(entries);
     for (const entry of entries) {
@@ -152,7 +152,7 @@
     this.updateVotingRole();
   }
 
-  /** Makes a role of a learner or voter out of the present membership. */
+  /** Makes this replica a learner or a voter according to the current membership. */
   updateVotingRole(): void {
     this.sendRoleEvent({ type: this.isVoter ? 'voteGained' : 'voteLost' });
   }
@@ -168,7 +168,7 @@
     this.updateVotingRole();
   }
 
-  /** Remembers that this incarnation has been a member, once that is committed. */
+  /** Saves that this incarnation has been a member, once a membership with it is committed. */
   #saveWasMember(): void {
     const isMember = this.membership.find(this.identity.incarnation) !== undefined;
     if (!isMember || this.store.state.wasMember) return;
@@ -180,14 +180,14 @@
     this.electionDeadline = this.now + random.between(electionTimeoutMs, 2 * electionTimeoutMs);
   }
 
-  /** Sets the deadline of an election that has begun: sooner, so that a split vote costs little. */
+  /** Sets the deadline of a started election; it is earlier, to retry soon after a split vote. */
   setElectionRetryDeadline(): void {
     const { electionTimeoutMs, random } = this.settings;
     const delayMs = random.between(MIN_RETRY_FRACTION * electionTimeoutMs, electionTimeoutMs);
     this.electionDeadline = this.now + delayMs;
   }
 
-  /** Moves to a term with a vote; messages that follow wait until it is durable. */
+  /** Sets term and vote; messages sent afterwards wait until both are durable. */
   saveTerm(term: number, vote: Incarnation | ''): void {
     if (term > this.term) {
       this.leader = undefined;
@@ -200,13 +200,13 @@
     this.#save({ ...this.store.state, group });
   }
 
-  /** Fails the replica with an error of the disk. */
+  /** Reports a disk error as a failure of the replica. */
   handleDiskError(error: unknown): void {
-    const message = `the disk failed: ${String(error)}`;
+    const message = `disk operation failed: ${String(error)}`;
     this.onFailure(new Failure(consensusCodes.diskFailed, message, { cause: error }));
   }
 
-  /** Runs once the present term and vote are durable. */
+  /** Runs an action once the current term and vote are durable. */
   whenSaved(action: () => void): void {
     if (this.#isSaving) this.#pendingActions.push(action);
     else action();
@@ -216,7 +216,7 @@
     this.#sendWhenSaved(to.replica, to.incarnation, body);
   }
 
-  /** Sends to a replica whose incarnation is not known. */
+  /** Sends to a replica whose incarnation is unknown. */
   sendByName(replica: ReplicaName, body: MessageBody): void {
     this.#sendWhenSaved(replica, '', body);
   }
@@ -235,7 +235,7 @@
     if (this.#isSaving) return;
     this.#isSaving = true;
     this.#saveUntilClean().catch(() => {
-      // The store has reported the failure, and the replica stops.
+      // The store reports the failure through `onFailure`, which stops the replica.
     });
   }
 
--- a/packages/consensus/src/lib/LocalLog.ts
+++ b/packages/consensus/src/lib/LocalLog.ts
@@ -3,10 +3,10 @@
 import { ReplicatedLog, type Applied, type LogStatus } from './ReplicatedLog';
 import type { StateMachine } from './StateMachine';
 
-/** Lease of a group of one: nobody else can lead. */
+/** Reported lease duration; no other replica can lead. */
 const LEASE_MS = 1000;
 
-/** A log of one replica in memory, for examples and tests of embedders. @public */
+/** In-memory log with a single replica, for examples and for tests of embedders. @public */
 export class LocalLog extends ReplicatedLog {
   readonly #machine: StateMachine;
 
@@ -55,10 +55,10 @@
   }
 
   override async transferLeadership(): Promise<void> {
-    // A group of one has nobody to hand over to.
+    // There is no other replica.
   }
 
   override async close(): Promise<void> {
-    // Nothing is held.
+    // No resources are held.
   }
 }
--- a/packages/consensus/src/lib/LogStore.ts
+++ b/packages/consensus/src/lib/LogStore.ts
@@ -16,32 +16,32 @@
 } from './records';
 import type { Recovered, Segment } from './recover';
 
-/** Sizes of the files and writes of a log. @internal */
+/** Limits on files, writes and entries of a log. @internal */
 export interface LogStoreLimits {
-  /** Size at which a new segment is begun, in bytes. */
+  /** Size in bytes at which a new segment is started. */
   readonly segmentBytes: number;
-  /** Most bytes of entries that are written with one sync. */
+  /** Maximum size in bytes of the entries in one write; a single entry may be larger. */
   readonly syncBytes: number;
   /** Entries kept before a snapshot, for followers that are slightly behind. */
   readonly trailingEntries: number;
 }
 
 /**
- * The log of one replica: entries after the compaction point in memory, and all of them in
- * segments on the disk. Writing is asynchronous: entries that arrive during a sync share the next.
+ * The log of one replica. Entries after the compaction point are kept in memory and in segments on
+ * disk. Writes are asynchronous: entries appended during a sync are batched into the next one.
  * @internal
  */
 export class LogStore {
-  /** Called when entries are durable. */
+  /** Called when entries have become durable. */
   onSynced: () => void = () => {};
 
-  /** Called when a batch of entries is about to be written. */
+  /** Called before a batch of entries is written. */
   onBeforeWrite: () => void = () => {};
 
-  /** Called once when the disk has failed. */
+  /** Called when the disk has failed or the latest snapshot is damaged. */
   onFailure: (failure: Failure) => void = () => {};
 
-  /** Number of syncs of entries so far. */
+  /** Number of entry syncs since the start. */
   syncs = 0;
 
   readonly #disk: Disk;
@@ -57,10 +57,10 @@
 
   #segments: Segment[];
 
-  /** Segments with a smaller number were replaced by a snapshot of a leader. */
+  /** Segments with a smaller number are obsolete since a leader's snapshot was installed. */
   #firstSegment: number;
 
-  /** Number of the segment that is being written. */
+  /** Number of the segment that is currently written. */
   #activeSegment = 0;
 
   #state: HardState;
@@ -114,7 +114,7 @@
     return this.#state;
   }
 
-  /** Term of an entry; undefined if the log does not hold it. */
+  /** Term of an entry or of the compaction point; undefined if the log does not hold it. */
   term(index: number): number | undefined {
     if (index === this.#compactionPoint.index) return this.#compactionPoint.term;
     return this.entry(index)?.term;
@@ -124,7 +124,7 @@
     return this.#entries[index - this.firstIndex];
   }
 
-  /** Entries from an index on, at least one if there is any, up to a size in bytes. */
+  /** Entries from an index on, up to a total size in bytes but at least one if there is any. */
   slice(from: number, maxBytes: number): Entry[] {
     const entries: Entry[] = [];
     let bytes = 0;
@@ -136,12 +136,12 @@
     return entries;
   }
 
-  /** Adds entries and replaces those from the first one's index on; writing follows. */
+  /** Appends entries, replacing those from the first new index on, and schedules their write. */
   append(entries: readonly Entry[]): void {
     const [first] = entries;
     if (!first) return;
-    assert(first.index >= this.firstIndex, 'an entry before the compaction point');
-    assert(first.index <= this.lastIndex + 1, 'a gap in the log');
+    assert(first.index >= this.firstIndex, 'an entry must not precede the compaction point');
+    assert(first.index <= this.lastIndex + 1, 'the log must have no gap');
     if (first.index <= this.lastIndex) this.#truncateFrom(first.index);
     for (const entry of entries) {
       this.#entries.push(entry);
@@ -154,28 +154,29 @@
     });
   }
 
-  /** Sets term, vote and group in memory; `saveState` makes them durable. */
+  /** Sets the hard state in memory; `saveState` makes it durable. */
   setState(state: HardState): void {
     this.#state = state;
   }
 
-  /** Makes the present term, vote and group durable. */
+  /** Makes the current hard state durable. */
   async saveState(): Promise<void> {
     const frame = encodeFrame(RECORD_VERSION, encodeJson(this.#state));
     await this.#runDiskOperation(() => this.#disk.replace(STATE_FILE, frame));
   }
 
-  /** Makes a snapshot of the own state durable and compacts the log before it. */
+  /** Makes a snapshot of this replica's state durable and compacts the log before it. */
   async compact(snapshot: Omit<Snapshot, 'firstSegment'>): Promise<void> {
-    assert(snapshot.index <= this.#syncedIndex, 'a snapshot of entries that are not synced');
+    assert(snapshot.index <= this.#syncedIndex, 'a snapshot must cover synced entries only');
     await this.#saveSnapshot({ ...snapshot, firstSegment: this.#firstSegment });
     this.#dropThrough(snapshot.index - this.#limits.trailingEntries);
     await this.#runDiskOperation(() => this.#removeObsolete());
   }
 
   /**
-   * Makes a snapshot of the leader durable. Entries after it stay if they are known to follow it;
-   * otherwise the log starts over. No entry may be appended meanwhile.
+   * Makes a snapshot from the leader durable. If the log holds the last entry that it covers, with
+   * the same term, the entries after it are kept; otherwise the log is cleared. No entry may be
+   * appended until this resolves.
    */
   async install(snapshot: Omit<Snapshot, 'firstSegment'>): Promise<void> {
     const { index, term } = snapshot;
@@ -193,7 +194,7 @@
     await this.#runDiskOperation(() => this.#removeObsolete());
   }
 
-  /** Reads the latest snapshot; undefined when there is none. */
+  /** Reads the latest snapshot; undefined if there is none or it is damaged. */
   async loadSnapshot(): Promise<Snapshot | undefined> {
     const { index } = this.#snapshot;
     if (index === 0) return undefined;
@@ -204,16 +205,13 @@
       this.onFailure(new Failure(consensusCodes.logDamaged, 'the latest snapshot is damaged'));
       return undefined;
     } catch (error) {
-      // A newer snapshot may have taken the place of the file while it was read.
+      // A newer snapshot may have replaced the file during the read.
       if (index === this.#snapshot.index) throw error;
       return this.loadSnapshot();
     }
   }
 
-  /**
-   * Closes the disk after the operations on their way; entries that wait for their write are not
-   * written.
-   */
+  /** Closes the disk once pending operations have settled; queued entries are not written. */
   async close(): Promise<void> {
     this.#isFailed = true;
     this.#writeQueue = [];
@@ -233,7 +231,7 @@
     this.#snapshot = { index: snapshot.index, term: snapshot.term };
   }
 
-  /** Forgets entries in memory up to an index. */
+  /** Drops entries in memory up to and including an index. */
   #dropThrough(index: number): void {
     const term = this.term(index);
     if (index <= this.#compactionPoint.index || term === undefined) return;
@@ -279,7 +277,7 @@
     return segment;
   }
 
-  /** Counts the entries of a written batch that have not been replaced meanwhile. */
+  /** Advances the synced index by a written batch, except for entries replaced during the write. */
   #markSynced(batch: readonly Entry[]): void {
     const last = batch.findLast((entry) => this.entry(entry.index) === entry);
     if (last && last.index > this.#syncedIndex) this.#syncedIndex = last.index;
@@ -303,9 +301,9 @@
     return segment.number < this.#firstSegment || segment.lastIndex <= this.#compactionPoint.index;
   }
 
-  /** Runs an operation of the disk, unless the store has failed or was closed. */
+  /** Runs a disk operation; rejects if the store has failed or is closed. */
   async #runDiskOperation(action: () => Promise<void>): Promise<void> {
-    if (this.#isFailed) throw new Error('the store is closed');
+    if (this.#isFailed) throw new Error('the log store is closed or has failed');
     const operation = action();
     this.#pendingOperations.add(operation);
     try {
@@ -321,7 +319,7 @@
   #handleDiskError(error: unknown): void {
     if (this.#isFailed) return;
     this.#isFailed = true;
-    const message = `the disk failed: ${String(error)}`;
+    const message = `disk operation failed: ${String(error)}`;
     this.onFailure(new Failure(consensusCodes.diskFailed, message, { cause: error }));
   }
 }
--- a/packages/consensus/src/lib/Membership.ts
+++ b/packages/consensus/src/lib/Membership.ts
@@ -1,20 +1,20 @@
 import type { Identity, Incarnation, ReplicaName } from './ids';
 
 /**
- * Part that a member takes: voters decide; joining members are learners that are promoted once
- * they have synced everything committed; learners stay without a vote.
+ * Role of a member in decisions. Voters count for a quorum. Joining members are learners that are
+ * promoted to voters once they have synced all committed entries. Learners never vote.
  * @public
  */
 export type MemberKind = 'voter' | 'joining' | 'learner';
 
-/** A replica that the group sends its log to. @public */
+/** A replica that receives the group's log. @public */
 export interface Member extends Identity {
   readonly kind: MemberKind;
-  /** Opaque to the log: where the embedder's transport reaches the replica. */
+  /** Address of the replica for the embedder's transport; opaque to the log. */
   readonly address: string;
 }
 
-/** A replica that may join by its name; its incarnation is known once it asks. @public */
+/** A replica that may join under its name, with an incarnation that is not known yet. @public */
 export interface Admission {
   readonly replica: ReplicaName;
   readonly voter: boolean;
@@ -25,18 +25,19 @@
   readonly members: readonly Member[];
   readonly admitted: readonly Admission[];
   /**
-   * Voters before a replacement of one incarnation by another, until that is settled: meanwhile
-   * each decision also needs a quorum of these, as the two sets have quorums without a common voter.
+   * Voters before one incarnation replaced another; present while the configuration is joint.
+   * Meanwhile each decision also needs a quorum of these voters, because a quorum of the old set
+   * and one of the new set need not have a common voter.
    */
   readonly outgoing?: readonly Incarnation[];
 }
 
-/** Membership of a replica that belongs to no group yet. @internal */
+/** Membership of a replica that belongs to no group. @internal */
 export const EMPTY_MEMBERSHIP: Membership = { members: [], admitted: [] };
 
 const FORMAT = 1;
 
-/** Bytes of a membership, for an entry or a snapshot. @internal */
+/** Encodes a membership for an entry or a snapshot. @internal */
 export function encodeMembership(membership: Membership): Uint8Array {
   return Buffer.from(JSON.stringify({ format: FORMAT, ...membership }));
 }
@@ -47,25 +48,25 @@
   return outgoing ? { members, admitted, outgoing } : { members, admitted };
 }
 
-/** Incarnations that vote. @internal */
+/** Incarnations of the voters. @internal */
 export function voters(membership: Membership): Incarnation[] {
   return membership.members.filter(({ kind }) => kind === 'voter').map((item) => item.incarnation);
 }
 
-/** Voter sets of which each must agree. @internal */
+/** Voter sets; a decision needs a quorum of each. @internal */
 export function voterSets(membership: Membership): (readonly Incarnation[])[] {
   const { outgoing } = membership;
   return outgoing ? [voters(membership), outgoing] : [voters(membership)];
 }
 
-/** Replicas needed for a decision among this many voters. @internal */
+/** Number of voters that form a quorum out of `count`. @internal */
 export function majority(count: number): number {
   return Math.floor(count / 2) + 1;
 }
 
 /**
- * The greatest value that a quorum of every voter set has reached: the commit index from the
- * synced indexes, or the start of the lease from the acknowledged stamps. -Infinity without voters.
+ * Greatest value that a quorum of every voter set has reached: the commit index from the synced
+ * indexes, or the start of the lease from the echoed stamps. -Infinity if a set has no voters.
  * @internal
  */
 export function quorumValue(
@@ -79,7 +80,7 @@
   return Math.min(...values);
 }
 
-/** Adds a replica that asked to join, in place of an unpromoted earlier incarnation. @internal */
+/** Adds a joining replica, in place of an earlier incarnation that is not a voter. @internal */
 export function withJoiner(
   membership: Membership,
   joiner: Identity,
@@ -111,7 +112,7 @@
   return isReplacement ? { members, admitted, outgoing: previousVoters } : { members, admitted };
 }
 
-/** Gives all incarnations of a replica another part. @internal */
+/** Changes the kind of all incarnations of a replica. @internal */
 export function withKind(
   membership: Membership,
   replica: ReplicaName,
@@ -123,14 +124,14 @@
   return { ...membership, members };
 }
 
-/** Ends a replacement that is committed. @internal */
+/** Ends the joint configuration of a committed replacement. @internal */
 export function withoutOutgoing({ members, admitted }: Membership): Membership {
   return { members, admitted };
 }
 
 /**
- * The membership as reported to embedders: a replacement counts as joining until it is settled,
- * since until then the loss of another voter may still leave the group without a quorum.
+ * The membership as reported to embedders. A replacement counts as joining until its joint
+ * configuration ends: before, the loss of another voter may leave the group without a quorum.
  * @internal
  */
 export function reportedMembership(membership: Membership): Membership {
@@ -143,13 +144,13 @@
   return { members: reported, admitted, outgoing };
 }
 
-/** Permits a replica to join. @internal */
+/** Allows a replica to join. @internal */
 export function withAdmission(membership: Membership, admission: Admission): Membership {
   const others = membership.admitted.filter((item) => item.replica !== admission.replica);
   return { ...membership, admitted: [...others, admission] };
 }
 
-/** Removes a replica in all its incarnations, and its permission to join. @internal */
+/** Removes all incarnations of a replica, and its permission to join. @internal */
 export function withoutReplica(membership: Membership, replica: ReplicaName): Membership {
   return {
     members: membership.members.filter((item) => item.replica !== replica),
--- a/packages/consensus/src/lib/MembershipChanger.ts
+++ b/packages/consensus/src/lib/MembershipChanger.ts
@@ -21,7 +21,7 @@
 } from './Membership';
 import type { Join, Message } from './Message';
 
-/** A member counts as reachable if it has answered within this many heartbeats. */
+/** A member is reachable if it replied to a message sent within this many heartbeat intervals. */
 const REACHABLE_HEARTBEATS = 5;
 
 interface JoinRequest {
@@ -29,13 +29,13 @@
   readonly address: string;
 }
 
-/** Changes the membership, one change at a time, on behalf of the leader. @internal */
+/** Changes the membership for the leader, one change at a time. @internal */
 export class MembershipChanger {
   readonly #core: Core;
 
   readonly #leader: Leader;
 
-  /** Replicas that have asked to join and wait for a change in progress. */
+  /** Pending join requests by replica. */
   readonly #joinRequests = new Map<ReplicaName, JoinRequest>();
 
   constructor(core: Core, leader: Leader) {
@@ -43,7 +43,7 @@
     this.#leader = leader;
   }
 
-  /** Admits a replica by name; it is added once it asks. */
+  /** Admits a replica by name; it is added once it requests to join. */
   admit(replica: ReplicaName, voter: boolean): Promise<Result<void, Failure>> {
     return this.#proposeChange(withAdmission(this.#latest, { replica, voter }));
   }
@@ -53,34 +53,37 @@
     const isKnown = [...this.#latest.members, ...this.#latest.admitted].some(
       (item) => item.replica === replica,
     );
-    if (!isKnown) return fail(consensusCodes.membershipInvalid, `no replica is named ${replica}`);
+    if (!isKnown) return fail(consensusCodes.membershipInvalid, `unknown replica ${replica}`);
     const remaining = withoutReplica(this.#latest, replica);
     const reachable = voters(remaining).filter((incarnation) => this.#isReachable(incarnation));
     if (reachable.length < majority(voters(remaining).length)) {
-      return fail(consensusCodes.membershipInvalid, 'most of the remaining voters do not answer');
+      return fail(
+        consensusCodes.membershipInvalid,
+        'fewer than a majority of the remaining voters are reachable',
+      );
     }
     return this.#proposeChange(remaining);
   }
 
   /**
-   * Changes the part that a member takes: a learner becomes a voter once it has synced everything
-   * committed, and a voter becomes a learner at once.
+   * Changes the kind of a member. A learner becomes a voter once it has synced all committed
+   * entries; a voter becomes a learner at once.
    */
   async assignKind(
     replica: ReplicaName,
     kind: 'joining' | 'learner',
   ): Promise<Result<void, Failure>> {
     const member = this.#latest.members.find((item) => item.replica === replica);
-    if (!member) return fail(consensusCodes.membershipInvalid, `no replica is named ${replica}`);
+    if (!member) return fail(consensusCodes.membershipInvalid, `unknown replica ${replica}`);
     const isPromotion = member.kind === 'learner' && kind === 'joining';
     if (!isPromotion && !(member.kind !== 'learner' && kind === 'learner')) {
-      const message = `${replica} is ${member.kind} and can't become ${kind}`;
+      const message = `${replica} of kind ${member.kind} cannot change to ${kind}`;
       return fail(consensusCodes.membershipInvalid, message);
     }
     return this.#proposeChange(withKind(this.#latest, replica, kind));
   }
 
-  /** Notes a request to join, if the replica is expected. */
+  /** Queues a join request if the membership or the admission policy allows the replica. */
   onJoin({ from, body }: Message<Join>): void {
     const { members, admitted } = this.#latest;
     if (members.some((item) => item.incarnation === from.incarnation)) return;
@@ -95,7 +98,7 @@
     this.tick();
   }
 
-  /** Starts the next change that is due: the end of a replacement, a joiner, or a promotion. */
+  /** Starts the next pending change: the end of a joint configuration, a join or a promotion. */
   tick(): void {
     if (!this.#canChange) return;
     if (this.#latest.outgoing) {
@@ -118,13 +121,13 @@
     return this.#core.membership.latest;
   }
 
-  /** Whether no change is in progress and the state of the log is known. */
+  /** Whether the latest membership is committed and so is an entry of this term. */
   get #canChange(): boolean {
     const { commitIndex, membership } = this.#core;
     return this.#leader.isEstablished && membership.latestIndex <= commitIndex;
   }
 
-  /** Whether a learner has synced everything committed, and answers. */
+  /** Whether a learner has synced all committed entries and is reachable. */
   #isSynced({ incarnation }: Identity): boolean {
     const progress = this.#leader.progress(incarnation);
     if (!progress || progress.match < this.#core.commitIndex) return false;
@@ -154,10 +157,13 @@
 
   async #proposeChange(membership: Membership): Promise<Result<void, Failure>> {
     if (!this.#canChange || this.#latest.outgoing) {
-      return fail(consensusCodes.membershipBusy, 'another change is not committed yet');
+      return fail(consensusCodes.membershipBusy, 'another membership change is not committed yet');
     }
     if (voters(membership).length === 0) {
-      return fail(consensusCodes.membershipInvalid, 'the group would have no voter');
+      return fail(
+        consensusCodes.membershipInvalid,
+        'the change would leave the group without a voter',
+      );
     }
     const result = await this.#appendMembership(membership);
     return result.isErr() ? err(result.error) : ok(undefined);
--- a/packages/consensus/src/lib/ReplicaOptions.ts
+++ b/packages/consensus/src/lib/ReplicaOptions.ts
@@ -53,7 +53,7 @@
   readonly heartbeatMs?: number;
   /** Duration of a lease that a voter grants; 600 by default. */
   readonly leaseMs?: number;
-  /** Minimum time without a leader before an election; the maximum is twice that; 700 by default. */
+  /** Minimum time without a leader before an election; the maximum is twice it; 700 by default. */
   readonly electionTimeoutMs?: number;
   /** Maximum relative difference between the clock rates of two replicas; 0.02 by default. */
   readonly clockRateBound?: number;
--- a/packages/consensus/src/lib/ReplicatedLog.ts
+++ b/packages/consensus/src/lib/ReplicatedLog.ts
@@ -7,7 +7,7 @@
   readonly result: Uint8Array;
 }
 
-/** What an embedder may observe of a replica. @public */
+/** Status of the log on one replica. @public */
 export interface LogStatus {
   readonly replica: string;
   readonly role: 'follower' | 'candidate' | 'leader' | 'learner';
@@ -18,41 +18,41 @@
 }
 
 /**
- * The log as its embedder sees it. Commands are committed by a quorum and applied in one order to
- * the state machine of each replica.
+ * The embedder's interface to the log. Commands are committed by a quorum and applied in the same
+ * order to the state machine of each replica.
  * @public
  */
 export abstract class ReplicatedLog {
-  /** Called after each applied command, in order, on each replica. */
+  /** Called on each replica after each applied command, in log order. */
   onApplied: (index: number, command: Uint8Array, result: Uint8Array) => void = () => {};
 
-  /** Called when this replica starts or ceases to lead. */
+  /** Called when this replica starts or stops leading. */
   onRole: (status: LogStatus) => void = () => {};
 
   abstract get status(): LogStatus;
 
   /**
-   * Commits a command. A failure with `notRun: true` proves that it was not and will not be
-   * applied; with `'unknown'` it may yet be: resend it under the same change id.
+   * Commits and applies a command. A failure with `notRun: true` proves that it was not and will
+   * not be applied. With `'unknown'` it may still be applied: resend it under the same change id.
    */
   abstract propose(command: Uint8Array): Promise<Result<Applied, Failure>>;
 
   /**
-   * Resolves once this replica has applied everything that was committed at the time of the call.
-   * Answered by the leader under its lease; fails elsewhere.
+   * Resolves with the commit index at the time of the call, once this replica has applied it. Fails
+   * on a replica that is not the leader or does not hold its lease.
    */
   abstract barrier(): Promise<Result<number, Failure>>;
 
   /**
-   * Whether this replica holds the leader lease now. To be asked in the same tick as the effect
-   * that it guards; both the monotonic and the wall clock are checked.
+   * Whether this replica holds the leader lease now, by both the monotonic and the wall clock. Read
+   * it in the same tick as the effect that it guards.
    */
   abstract get holdsLease(): boolean;
 
-  /** Monotonic time at which the lease ends, in milliseconds; 0 without a lease. */
+  /** Monotonic time in milliseconds at which the lease ends; 0 without a lease. */
   abstract get leaseEndsAt(): number;
 
-  /** Hands leadership to the most advanced voter; resolves when another leads or none could. */
+  /** Transfers leadership to the most advanced voter; resolves on success, failure or time-out. */
   abstract transferLeadership(): Promise<void>;
 
   abstract close(): Promise<void>;
--- a/packages/consensus/src/lib/openCore.ts
+++ b/packages/consensus/src/lib/openCore.ts
@@ -19,7 +19,7 @@
   readonly snapshot: Snapshot | undefined;
 }
 
-/** Reads the identity of a disk, or gives an empty disk a new one. */
+/** Returns the identity stored on a disk; an empty disk gets a new one. */
 async function loadOrCreateIdentity(
   { disk, replica, unsafe }: ReplicaSettings,
   recovered: Recovered,
@@ -27,11 +27,14 @@
   const stored = recovered.identity;
   if (stored?.replica === replica) return ok(stored);
   if (stored) {
-    const message = `the disk belongs to the replica ${stored.replica}, not ${replica}`;
+    const message = `the disk belongs to replica ${stored.replica}, not to ${replica}`;
     return fail(consensusCodes.logDamaged, message);
   }
   if (recovered.entries.length > 0 || recovered.snapshot || recovered.state.term > 0) {
-    return fail(consensusCodes.logDamaged, 'the identity of the replica is missing');
+    return fail(
+      consensusCodes.logDamaged,
+      'the identity file is missing, but the disk holds other data',
+    );
   }
   const identity = { replica, incarnation: unsafe.incarnation ?? createIncarnation() };
   await disk.replace(IDENTITY_FILE, encodeFrame(RECORD_VERSION, encodeJson(identity)));
@@ -62,17 +65,22 @@
     identity: identity.value,
     store: new LogStore(disk, recovered, limits),
     membership: readMemberships(recovered),
-    // An incarnation that is new has granted nothing.
+    // A new incarnation has not granted any lease.
     preRestartLeaseUntil: recovered.identity ? timer.now() + leaseMs : 0,
   });
   return ok({ core, snapshot });
 }
 
-/** Reads the disk of a replica. @internal */
+/**
+ * Reads the disk of a replica. Fails with `logDamaged`, `versionUnknown` or `diskFailed`.
+ * @internal
+ */
 export async function openCore(settings: ReplicaSettings): Promise<Result<OpenedCore, Failure>> {
   try {
     return await open(settings);
   } catch (error) {
-    return fail(consensusCodes.diskFailed, `the disk failed: ${String(error)}`, { cause: error });
+    return fail(consensusCodes.diskFailed, `reading the disk failed: ${String(error)}`, {
+      cause: error,
+    });
   }
 }
--- a/packages/consensus/src/lib/roleMachine.ts
+++ b/packages/consensus/src/lib/roleMachine.ts
@@ -3,7 +3,7 @@
 /** Roles of a replica. @public */
 export type Role = 'learner' | 'follower' | 'preCandidate' | 'candidate' | 'leader' | 'stopped';
 
-/** What may change the role of a replica. @internal */
+/** Events that may change the role of a replica. @internal */
 export type RoleEvent =
   | { readonly type: 'electionTimeout' }
   | { readonly type: 'preVoteWon' }
@@ -12,11 +12,13 @@
   | { readonly type: 'newerTerm' }
   | { readonly type: 'quorumLost' }
   | { readonly type: 'transferRequested' }
+  /** The replica has become a voter. */
   | { readonly type: 'voteGained' }
+  /** The replica is no longer a voter. */
   | { readonly type: 'voteLost' }
   | { readonly type: 'stop' };
 
-/** What a replica does on entry to and exit from its roles. @internal */
+/** Actions on entry to and exit from a role. @internal */
 export interface RoleEffects {
   readonly skipPreVote: boolean;
   entered(role: Role): void;
@@ -51,8 +53,8 @@
 }
 
 /**
- * The roles of a replica and the events between them. Only changes of role pass through here;
- * appending and acknowledging entries do not.
+ * State machine of a replica's role. It handles role changes only; appending and acknowledging
+ * entries happens elsewhere.
  * @internal
  */
 export const roleMachine = machine.createMachine({
