--- a/packages/consensus/src/lib/Applier.ts
+++ b/packages/consensus/src/lib/Applier.ts
@@ -4,7 +4,7 @@
 import { consensusEvents } from './events';
 import type { Snapshot } from './records';
 
-/** Entries applied at a time before the event loop is given back. */
+/** Maximum number of entries applied before yielding to the event loop. */
 const MAX_ENTRIES_PER_TURN = 512;
 
 const NO_RESULT = new Uint8Array();
@@ -14,7 +14,7 @@
   readonly resolve: (isApplied: boolean) => void;
 }
 
-/** Applies committed entries in order, and takes snapshots when the log has grown. @internal */
+/** Applies committed entries in order, and takes snapshots as the log grows. @internal */
 export class Applier implements Disposable {
   /** Called after each applied entry, with the result of a command. */
   onEntry: (entry: Entry, result: Uint8Array) => void = () => {};
@@ -40,7 +40,7 @@
     return this.#appliedIndex;
   }
 
-  /** Applies what is committed; a long backlog is spread over several turns of the event loop. */
+  /** Applies committed entries; a long backlog is spread over several turns of the event loop. */
   apply(): void {
     if (this.#continuation) return;
     const { commitIndex, store, settings, role } = this.#core;
@@ -60,7 +60,7 @@
     });
   }
 
-  /** Resolves once an index is applied; false if the replica stops before. */
+  /** Resolves with true once an index is applied, or with false if the replica stops before. */
   waitFor(index: number): Promise<boolean> {
     if (this.#appliedIndex >= index) return Promise.resolve(true);
     return new Promise((resolve) => {
@@ -68,7 +68,7 @@
     });
   }
 
-  /** Replaces the state by that of a snapshot. */
+  /** Replaces the state with that of a snapshot. */
   restore(snapshot: Snapshot): void {
     try {
       this.#core.settings.machine.restore(snapshot.state);
@@ -81,7 +81,7 @@
     this.#resolveWaiters();
   }
 
-  /** Takes a snapshot if enough was applied since the latest and all of it is synced. */
+  /** Takes a snapshot if enough entries were applied since the latest one and all are synced. */
   saveSnapshot(): void {
     const { store, settings, membership, installing } = this.#core;
     const isDue =
@@ -101,7 +101,7 @@
         settings.journal.record(consensusEvents.snapshotWritten, { index });
       })
       .catch(() => {
-        // The store has reported the failure, and the replica stops.
+        // The store reports the failure through `onFailure`, which stops the replica.
       });
   }
 
--- a/packages/consensus/src/lib/Elector.ts
+++ b/packages/consensus/src/lib/Elector.ts
@@ -4,29 +4,32 @@
 import type { Message, PreVote, PreVoteReply, Vote, VoteReply } from './Message';
 
 /**
- * Elections: stands with a pre-vote and then a vote, and answers those of others. A replica that
- * has granted a lease grants neither until the lease has run out.
+ * Runs elections, with a pre-vote before the vote, and replies to the vote requests of peers. A
+ * replica that has granted a lease grants neither pre-votes nor votes until the lease expires.
  * @internal
  */
 export class Elector {
-  /** Longest time for which a lease known to a granting voter may still run. */
+  /**
+   * Longest remaining time, in milliseconds, of a lease that this replica or one of its voters may
+   * have granted before a restart.
+   */
   leaseRemainingMs = 0;
 
-  /** End of the lease that this replica holds as a leader, by its monotonic clock. */
+  /** Returns the end, by the monotonic clock, of the lease that this replica holds as leader. */
   ownLeaseEnd: () => number = () => 0;
 
   readonly #core: Core;
 
   readonly #grantedBy = new Set<Incarnation>();
 
-  /** Term whose leader handed over to this replica; 0 if none did. */
+  /** Term whose leader transferred leadership to this replica; 0 if none did. */
   #transferOf = 0;
 
   constructor(core: Core) {
     this.#core = core;
   }
 
-  /** Stands at once, on the word of a leader that has given up its lease. */
+  /** Starts an election at once; the leader that requested it has abandoned its lease. */
   startTransferElection(): void {
     this.#transferOf = this.#core.term;
     this.#core.resetElectionDeadline();
@@ -74,7 +77,7 @@
 
   onVote({ from, term, body }: Message<Vote>): void {
     const core = this.#core;
-    // A refusal for the lease's sake leaves the term alone, so that the leader is not disturbed.
+    // A vote rejected because of a lease does not advance the term, so the leader keeps its role.
     if (term >= core.term && !this.#isBoundByLease(body.transferOf)) {
       if (term > core.term) {
         core.saveTerm(term, '');
@@ -97,7 +100,7 @@
     this.#countGrant(from.incarnation);
   }
 
-  /** Time for which a lease may run that was granted before this replica's restart. */
+  /** Longest remaining time, in milliseconds, of a lease granted before this replica restarted. */
   get #preRestartLeaseMs(): number {
     return Math.max(0, this.#core.preRestartLeaseUntil - this.#core.now);
   }
--- a/packages/consensus/src/lib/Follower.ts
+++ b/packages/consensus/src/lib/Follower.ts
@@ -11,16 +11,16 @@
 
 const NO_STAMP: LeaseStamp = { mono: -Infinity, wall: -Infinity };
 
-/** Takes entries and snapshots from a leader and acknowledges what is synced. @internal */
+/** Receives entries and snapshots from the leader and acknowledges synced entries. @internal */
 export class Follower {
-  /** Replaces the state of the embedder by that of a snapshot. */
+  /** Called to replace the embedder's state with that of a snapshot. */
   onRestore: (snapshot: Snapshot) => void = () => {};
 
   readonly #core: Core;
 
   readonly #receiver = new SnapshotReceiver();
 
-  /** Index up to which the log is equal to that of the leader of this term. */
+  /** Index up to which the log is known to match that of the leader of `term`. */
   #verified = { term: 0, index: 0 };
 
   #stamp = NO_STAMP;
@@ -35,7 +35,7 @@
     const core = this.#core;
     if (!this.#acceptLeader(message)) return;
     if (core.installing) {
-      // The log can't be compared now, but the lease is granted all the same.
+      // The log cannot be compared during an installation, but the lease is granted nevertheless.
       const stamp = this.#stamp;
       core.send(message.from, { type: 'snapshotReply', index: 0, nextOffset: 0, stamp });
       return;
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Tells the leader what is synced, if that has grown or an answer is due. */
+  /** Acknowledges synced entries to the leader if there are new ones, or always if forced. */
   acknowledge(isForced = false): void {
     const { leader, term, syncedIndex, installing } = this.#core;
     if (!leader || this.#verified.term !== term || installing) return;
@@ -81,7 +81,7 @@
     this.#reply(leader, true, match);
   }
 
-  /** Accepts the sender as leader of the term and grants it a lease; false if it is out of date. */
+  /** Accepts the sender as leader and grants it a lease; false for an old term or a conflict. */
   #acceptLeader({ from, term, body }: Message<Append | SnapshotChunk>): boolean {
     const core = this.#core;
     if (term < core.term) {
@@ -113,7 +113,7 @@
     return true;
   }
 
-  /** Entries that the log lacks or holds with another term, from the first such on. */
+  /** Entries from the first one on that the log lacks or holds with another term. */
   #newEntries(entries: readonly Entry[]): readonly Entry[] {
     const { store, commitIndex } = this.#core;
     const first = entries.findIndex(
@@ -122,7 +122,7 @@
     return first < 0 ? [] : entries.slice(first);
   }
 
-  /** An index at which the logs may agree: before the conflicting term, or the end of the log. */
+  /** An index at which the logs may match: before the conflicting term, or the end of the log. */
   #conflictHint(prevIndex: number): number {
     const { store, commitIndex } = this.#core;
     if (prevIndex > store.lastIndex) return store.lastIndex;
@@ -140,7 +140,7 @@
 
   async #installSnapshot(bytes: Uint8Array): Promise<void> {
     const core = this.#core;
-    const frame = required(decodeFrame(bytes, 0), 'a whole snapshot');
+    const frame = required(decodeFrame(bytes, 0), 'complete snapshot frame');
     const body = migrate('snapshot', frame);
     if (body.isErr()) {
       core.onFailure(body.error);
@@ -153,7 +153,7 @@
       core.installing = true;
       await core.store.install(snapshot);
       core.installing = false;
-      assert(index > core.commitIndex, 'nothing is committed during an installation');
+      assert(index > core.commitIndex, 'no entry may be committed while a snapshot is installed');
       core.membership.reset(index, snapshot.membership);
       this.onRestore(snapshot);
       core.commitTo(index);
--- a/packages/consensus/src/lib/Joiner.ts
+++ b/packages/consensus/src/lib/Joiner.ts
@@ -5,14 +5,14 @@
 import { encodeMembership } from './Membership';
 import type { Join, JoinReply, Message } from './Message';
 
-/** Interval at which a replica without a group asks its seeds. */
+/** Interval of join requests from a replica without a group to its seeds. */
 const JOIN_INTERVAL_MS = 500;
 
 /** Brings a replica with an empty disk into a group, or founds one. @internal */
 export class Joiner {
   readonly #core: Core;
 
-  /** Seeds that have answered that they belong to no group. */
+  /** Seeds that have replied that they belong to no group. */
   readonly #seedsWithoutGroup = new Set<ReplicaName>();
 
   #lastJoinAt = -Infinity;
@@ -21,7 +21,7 @@
     this.#core = core;
   }
 
-  /** Asks the seeds from time to time, as long as this replica is in no membership. */
+  /** Sends join requests to the seeds at intervals until this replica is in a membership. */
   tick(): void {
     const { now, settings, store, identity, membership } = this.#core;
     if (store.state.wasMember || membership.find(identity.incarnation)) return;
@@ -32,7 +32,7 @@
     settings.seeds.forEach((seed) => this.#core.sendByName(seed, body));
   }
 
-  /** Answers a replica that asks whether there is a group. */
+  /** Replies to a joining replica whether this one belongs to a group. */
   onJoin({ from }: Message<Join>): void {
     this.#core.send(from, { type: 'joinReply', hasGroup: this.#hasGroup });
   }
@@ -53,7 +53,7 @@
     if (settings.seeds.every((seed) => this.#seedsWithoutGroup.has(seed))) this.#foundGroup();
   }
 
-  /** Begins a log whose first entry makes this replica the only voter. */
+  /** Starts a log whose first entry makes this replica the only voter. */
   #foundGroup(): void {
     const core = this.#core;
     const { settings, identity } = core;
--- a/packages/consensus/src/lib/Leader.ts
+++ b/packages/consensus/src/lib/Leader.ts
@@ -15,7 +15,7 @@
 
 const NO_DATA = new Uint8Array();
 
-/** Leadership of one term: takes proposals, commits them, and holds the lease. @internal */
+/** Leader of one term: accepts and commits proposals, and holds the lease. @internal */
 export class Leader implements Disposable {
   readonly replicator: Replicator;
 
@@ -25,7 +25,7 @@
 
   readonly #proposals: Proposals;
 
-  /** Time until which an earlier leader may hold its lease. */
+  /** Time until which an earlier leader may hold its lease; nothing is committed before. */
   readonly #earlierLeaseUntil: number;
 
   readonly #startedAt: number;
@@ -55,7 +55,7 @@
     this.tick();
   }
 
-  /** Whether an entry of this term is committed, so that all earlier ones are known to be. */
+  /** Whether an entry of this term is committed, which implies that all earlier ones are. */
   get isEstablished(): boolean {
     return this.#core.commitIndex >= this.#firstIndex;
   }
@@ -64,18 +64,18 @@
     return this.isEstablished && this.#core.now >= this.#earlierLeaseUntil && this.lease.isHeld;
   }
 
-  /** Takes a command into the log; the result tells whether it was applied. */
+  /** Appends a command to the log; resolves once it is applied or its outcome is unknown. */
   propose(command: Uint8Array): Promise<Result<Applied, Failure>> {
     const { maxCommandBytes } = this.#core.settings;
     if (command.byteLength > maxCommandBytes) {
-      const message = `command of ${command.byteLength} bytes, at most ${maxCommandBytes}`;
+      const message = `command of ${command.byteLength} bytes exceeds limit of ${maxCommandBytes}`;
       return Promise.resolve(fail(consensusCodes.commandTooLarge, message));
     }
     if (this.#isRejecting) {
-      return Promise.resolve(fail(consensusCodes.transferring, 'leadership is handed over'));
+      return Promise.resolve(fail(consensusCodes.transferring, 'leadership transfer in progress'));
     }
     if (!this.#proposals.hasRoomFor(command.byteLength)) {
-      return Promise.resolve(fail(consensusCodes.queueFull, 'too many proposals wait'));
+      return Promise.resolve(fail(consensusCodes.queueFull, 'too many proposals are pending'));
     }
     const entry = this.append(EntryKind.Command, command);
     return this.#proposals.add(entry.index, command.byteLength);
@@ -88,12 +88,12 @@
     return entry;
   }
 
-  /** Waits for the entry of an index to be applied. */
+  /** Resolves once an entry is applied or its outcome is unknown. */
   waitFor(entry: Entry): Promise<Result<Applied, Failure>> {
     return this.#proposals.add(entry.index, entryBytes(entry));
   }
 
-  /** Refuses proposals from now on, or takes them again. */
+  /** Starts or stops rejecting proposals. */
   setRejecting(isRejecting: boolean): void {
     this.#isRejecting = isRejecting;
   }
@@ -120,7 +120,7 @@
     this.replicator.continueSnapshot(progress, body);
   }
 
-  /** Sends heartbeats in time, and steps down when a quorum has not been heard for too long. */
+  /** Sends due heartbeats; steps down without replies from a quorum for an election timeout. */
   tick(): void {
     const { now, settings } = this.#core;
     if (now - this.#lastHeartbeatAt >= settings.heartbeatMs) {
@@ -137,7 +137,7 @@
     this.advanceCommit();
   }
 
-  /** Commits what a quorum has synced. */
+  /** Commits the entries that a quorum has synced. */
   advanceCommit(): void {
     const core = this.#core;
     if (core.now < this.#earlierLeaseUntil) return;
@@ -149,14 +149,14 @@
     this.replicator.announceCommit();
   }
 
-  /** Answers a barrier: the commit index, which a lease proves to be the latest. */
+  /** Returns the commit index for a barrier; the lease proves that there is no later one. */
   readIndex(): Result<number, Failure> {
     if (this.holdsLease) return ok(this.#core.commitIndex);
     return fail(consensusCodes.leaseNotHeld, 'the leader does not hold its lease');
   }
 
   [Symbol.dispose](): void {
-    // As a voter, this replica has granted the lease to itself.
+    // As a voter, this replica must also honour the lease that it held as leader.
     const { term, grantedLease } = this.#core;
     const expiresAt = Math.max(grantedLease.expiresAt, this.lease.endsAt);
     this.#core.grantedLease = { term, expiresAt };
@@ -173,7 +173,7 @@
     this.lease.renew(this.#quorumStamp);
   }
 
-  /** Latest stamp that a quorum has echoed; this replica itself counts as of now. */
+  /** Latest stamp that a quorum has echoed; this replica counts with its current time. */
   get #quorumStamp(): LeaseStamp {
     const { voterSets, settings, identity } = this.#core;
     const own = { mono: settings.timer.now(), wall: settings.timer.wall() };
@@ -191,7 +191,7 @@
     return this.progress(incarnation)?.match ?? 0;
   }
 
-  /** The most advanced other voter that has been heard lately. */
+  /** The most advanced other voter that replied within the last election timeout, if any. */
   get successor(): Identity | undefined {
     const core = this.#core;
     const since = core.now - core.settings.electionTimeoutMs;
--- a/packages/consensus/src/lib/LeaderLease.ts
+++ b/packages/consensus/src/lib/LeaderLease.ts
@@ -2,10 +2,10 @@
 import type { LeaseStamp } from './Message';
 
 /**
- * The lease of a leader. A voter grants it for `leaseMs` from when it receives a heartbeat; the
- * leader counts from before it sent that heartbeat, and less by the bound on clock rates. Both
- * clocks must agree: the monotonic one may stand still while a machine is suspended, and the wall
- * clock may be set back.
+ * The lease of a leader. A voter grants it for `leaseMs` from the receipt of a heartbeat. The
+ * leader counts from before it sent that heartbeat, and shortens the lease by the bound on clock
+ * rates. The lease must be valid by both clocks: the monotonic clock may stop while a machine is
+ * suspended, and the wall clock may be set back.
  * @internal
  */
 export class LeaderLease {
@@ -15,7 +15,7 @@
 
   readonly #ignoresWallClock: boolean;
 
-  /** Both clocks at the latest stamp that a quorum has echoed. */
+  /** Latest stamp that a quorum has echoed. */
   #start: LeaseStamp = { mono: -Infinity, wall: -Infinity };
 
   #isAbandoned = false;
@@ -30,7 +30,7 @@
     this.#start = start;
   }
 
-  /** Gives the lease up for the rest of the term. */
+  /** Abandons the lease for the rest of the term. */
   abandon(): void {
     this.#isAbandoned = true;
   }
@@ -39,7 +39,7 @@
     return this.#isAbandoned;
   }
 
-  /** End by the monotonic clock; 0 if it was given up or never held. */
+  /** End of the lease by the monotonic clock; 0 if it was abandoned or never held. */
   get endsAt(): number {
     if (this.#isAbandoned || this.#start.mono === -Infinity) return 0;
     return this.#start.mono + this.#durationMs;
--- a/packages/consensus/src/lib/LeadershipTransfer.ts
+++ b/packages/consensus/src/lib/LeadershipTransfer.ts
@@ -4,9 +4,9 @@
 import type { Leader } from './Leader';
 
 /**
- * Hands leadership to another voter. The lease is given up for the rest of the term before the
- * successor is told to stand, so that its election need not wait for the lease; if the successor
- * is not elected, the leader steps down.
+ * Transfers leadership to another voter. The leader abandons its lease for the rest of the term
+ * before it asks the successor to start an election, so that the election need not wait for the
+ * lease. If the successor is not elected in time, the leader steps down.
  * @internal
  */
 export class LeadershipTransfer {
@@ -29,7 +29,7 @@
     core.settings.journal.record(consensusEvents.transferStarted, { successor });
   }
 
-  /** Goes on with the transfer; false once it has ended. */
+  /** Continues the transfer; returns false once it has timed out. */
   tick(): boolean {
     const { now, store } = this.#core;
     if (now >= this.#deadline) {
--- a/packages/consensus/src/lib/Progress.ts
+++ b/packages/consensus/src/lib/Progress.ts
@@ -5,22 +5,22 @@
   readonly lastIndex: number;
 }
 
-/** How the leader sends to a member: searching the common prefix, streaming, or by snapshot. */
+/** How the leader sends to a member: probing for a matching index, streaming, or by snapshot. */
 export type ProgressMode = 'probe' | 'stream' | 'snapshot';
 
-/** A snapshot on its way to a member. @internal */
+/** A snapshot in transfer to a member. @internal */
 export interface SnapshotTransfer {
   readonly index: number;
   readonly term: number;
   readonly bytes: Uint8Array;
   offset: number;
-  /** Time of the last sending. */
+  /** Monotonic time at which the latest chunk was sent, in milliseconds. */
   sentAt: number;
 }
 
 /**
- * What a leader knows of one member. Unanswered messages are bounded, so that a member that is
- * slow or down takes a fixed amount of memory.
+ * Replication progress of one member, as seen by the leader. Unacknowledged messages are bounded,
+ * so that a member that is slow or down takes a fixed amount of memory.
  * @internal
  */
 export class Progress {
@@ -28,21 +28,21 @@
 
   mode: ProgressMode = 'probe';
 
-  /** Index up to which the member's log is synced and equal to the leader's. */
+  /** Index up to which the member's log is synced and matches the leader's. */
   match = 0;
 
   /** Index of the entry to send next. */
   next: number;
 
-  /** Whether a probe has been sent and not been answered. */
+  /** Whether a probe is unanswered. */
   isProbing = false;
 
   transfer: SnapshotTransfer | undefined;
 
-  /** Greatest stamp that the member has echoed. */
+  /** Latest stamp that the member has echoed. */
   stamp: LeaseStamp = { mono: -Infinity, wall: -Infinity };
 
-  /** Commit index that was sent last. */
+  /** Commit index in the latest message sent. */
   sentCommitIndex = 0;
 
   #inflight: InflightAppend[] = [];
@@ -60,7 +60,7 @@
     return this.mode === 'probe' && !this.isProbing;
   }
 
-  /** Notes entries sent up to an index. */
+  /** Records that entries up to an index were sent. */
   recordSent(lastIndex: number): void {
     if (this.mode === 'probe') {
       this.isProbing = true;
@@ -70,7 +70,7 @@
     this.next = lastIndex + 1;
   }
 
-  /** Notes that the member holds everything up to an index. */
+  /** Records that the member's log matches up to an index. */
   recordAccepted(match: number): void {
     this.match = Math.max(this.match, match);
     this.next = Math.max(this.next, this.match + 1);
@@ -80,24 +80,24 @@
     if (this.mode !== 'stream') this.#switchTo('stream');
   }
 
-  /** Goes back to an index at which the logs may agree. */
+  /** Handles a rejected append: probes from an index at which the logs may match. */
   recordRejected(hint: number): void {
     if (this.mode === 'snapshot') return;
     this.#switchTo('probe');
     this.next = Math.max(this.match, Math.min(hint, this.next - 1)) + 1;
   }
 
-  /** Switches to sending a snapshot, which is loaded first. */
+  /** Switches to sending a snapshot; its transfer starts once it is loaded. */
   beginSnapshot(): void {
     this.#switchTo('snapshot');
   }
 
-  /** Gives a snapshot up. */
+  /** Aborts the transfer of a snapshot. */
   abortSnapshot(): void {
     this.#switchTo('probe');
   }
 
-  /** Takes in an echoed stamp. */
+  /** Records an echoed stamp if it is later than the last one. */
   recordStamp({ mono, wall }: LeaseStamp): void {
     if (mono > this.stamp.mono) this.stamp = { mono, wall };
   }
--- a/packages/consensus/src/lib/Proposals.ts
+++ b/packages/consensus/src/lib/Proposals.ts
@@ -8,7 +8,7 @@
   readonly settle: (result: Result<Applied, Failure>) => void;
 }
 
-/** Proposals of this leader that are in its log and not applied yet, bounded in number and size. */
+/** Proposals in this leader's log that are not applied yet, bounded in number and size. */
 export class Proposals {
   readonly #pending = new Map<number, Proposal>();
 
@@ -31,7 +31,7 @@
     return this.#pending.size < this.#maxCount && this.#bytes + bytes <= this.#maxBytes;
   }
 
-  /** Waits for the entry of an index. */
+  /** Adds the proposal at an index; resolves with its result. */
   add(index: number, bytes: number): Promise<Result<Applied, Failure>> {
     this.#bytes += bytes;
     return new Promise((resolve) => {
@@ -39,7 +39,7 @@
     });
   }
 
-  /** Answers the proposal of an index, if it is one of this leader. */
+  /** Settles the proposal at an index, if this leader has one there. */
   settle(index: number, result: Uint8Array): void {
     const proposal = this.#pending.get(index);
     if (!proposal) return;
@@ -48,13 +48,13 @@
     proposal.settle(ok({ index, result }));
   }
 
-  /** Answers all that wait: whether they will be applied is not known. */
+  /** Fails all pending proposals with an unknown outcome: they may still be applied. */
   failAll(code: Code = consensusCodes.leadershipLost): void {
     const pending = [...this.#pending.values()];
     this.#pending.clear();
     this.#bytes = 0;
     for (const { settle } of pending) {
-      settle(fail(code, 'the outcome of the command is not known', { notRun: 'unknown' }));
+      settle(fail(code, 'the outcome of the command is unknown', { notRun: 'unknown' }));
     }
   }
 }
--- a/packages/consensus/src/lib/Replica.ts
+++ b/packages/consensus/src/lib/Replica.ts
@@ -23,22 +23,22 @@
 import { withDefaults, type ReplicaOptions } from './ReplicaOptions';
 import { roleMachine, type Role, type RoleEffects } from './roleMachine';
 
-/** Parts of a heartbeat interval after which deadlines are looked at. */
+/** Number of deadline checks per heartbeat interval. */
 const TICKS_PER_HEARTBEAT = 2;
 
-/** Election timeouts after which a transfer is not waited for any longer. */
+/** Timeout of `transferLeadership`, in election timeouts. */
 const TRANSFER_TIMEOUT_ELECTIONS = 3;
 
-/** A leadership together with what the leader does beside replicating. */
+/** The leader of a term with its membership changes and leadership transfer. */
 interface Leadership {
   readonly leader: Leader;
   readonly changer: MembershipChanger;
   transfer: LeadershipTransfer | undefined;
 }
 
-/** One replica of a replicated log: keeps it on a disk and takes part in its group. @public */
+/** One replica of a replicated log, which it stores on a disk. @public */
 export class Replica extends ReplicatedLog {
-  /** Called when a change of the membership is committed; addresses of members are in it. */
+  /** Called when a membership change is committed; the membership includes member addresses. */
   onMembership: (membership: Membership) => void = () => {};
 
   readonly #core: Core;
@@ -79,12 +79,15 @@
 
   /**
    * Reads the disk and starts the replica. Fails with `logDamaged`, `versionUnknown` or
-   * `diskFailed`, and with `internal` if the state machine refuses its snapshot.
+   * `diskFailed`, and with `internal` if the state machine cannot restore its snapshot.
    */
   static async open(options: ReplicaOptions): Promise<Result<Replica, Failure>> {
     const settings = withDefaults(options);
-    assert(settings.leaseMs <= settings.electionTimeoutMs, 'a lease outlasts the election timeout');
-    assert(settings.heartbeatMs < settings.leaseMs, 'a lease ends before the next heartbeat');
+    assert(
+      settings.leaseMs <= settings.electionTimeoutMs,
+      'leaseMs must not exceed electionTimeoutMs',
+    );
+    assert(settings.heartbeatMs < settings.leaseMs, 'heartbeatMs must be less than leaseMs');
     const opened = await openCore(settings);
     if (opened.isErr()) return err(opened.error);
     const replica = new Replica(opened.value.core);
@@ -136,8 +139,8 @@
   }
 
   /**
-   * Hands leadership to the most advanced voter. Its lease may begin at once: no effect that this
-   * replica's lease guards may be on its way when this is called.
+   * Transfers leadership to the most advanced voter. The lease of the new leader may begin at once,
+   * so no effect guarded by this replica's lease may be in flight when this is called.
    */
   override async transferLeadership(): Promise<void> {
     const leadership = this.#leadership;
@@ -159,19 +162,19 @@
     }
   }
 
-  /** Admits a replica by its name, as a voter or for good as a learner; it joins once it asks. */
+  /** Admits a replica by name, as a voter or a permanent learner; it is added once it asks. */
   async addReplica(replica: ReplicaName, voter = true): Promise<Result<void, Failure>> {
     if (!this.#leadership) return this.#notLeaderFailure();
     return this.#leadership.changer.admit(replica, voter);
   }
 
-  /** Removes a replica; a leader that removes itself steps down once that is committed. */
+  /** Removes a replica; a leader that removes itself steps down once the removal is committed. */
   async removeReplica(replica: ReplicaName): Promise<Result<void, Failure>> {
     if (!this.#leadership) return this.#notLeaderFailure();
     return this.#leadership.changer.remove(replica);
   }
 
-  /** Promotes a learner, or takes the vote of a member; see `ReplicaStatus.membership`. */
+  /** Promotes a learner (`joining`), or makes a member a learner without a vote. */
   async assignKind(
     replica: ReplicaName,
     kind: 'joining' | 'learner',
@@ -180,13 +183,11 @@
     return this.#leadership.changer.assignKind(replica, kind);
   }
 
-  /** Time since a member last answered this leader, in milliseconds; undefined if never. */
+  /** Milliseconds since the latest message that a member replied to was sent; undefined if none. */
   silenceMs(incarnation: Incarnation): number | undefined {
     if (this.#core.isSelf({ incarnation })) return 0;
-    const lastReplyAt = this.#leadership?.leader.progress(incarnation)?.stamp.mono;
-    return lastReplyAt === undefined || lastReplyAt === -Infinity
-      ? undefined
-      : this.#core.now - lastReplyAt;
+    const sentAt = this.#leadership?.leader.progress(incarnation)?.stamp.mono;
+    return sentAt === undefined || sentAt === -Infinity ? undefined : this.#core.now - sentAt;
   }
 
   override async close(): Promise<void> {
@@ -194,7 +195,7 @@
     await this.#core.store.close();
   }
 
-  /** End of the lease that a quorum has granted, also while it may not be used yet. */
+  /** End of the lease that a quorum has granted, even if it may not be used yet. */
   get #ownLeaseEnd(): number {
     return this.#leadership?.leader.lease.endsAt ?? 0;
   }
@@ -207,11 +208,14 @@
 
   #notLeaderFailure<T>(): Result<T, Failure> {
     if (this.#core.role === 'stopped') {
-      const cause = this.#failure?.message ?? 'it was closed';
+      const cause = this.#failure?.message ?? 'closed';
       return fail(consensusCodes.stopped, `the replica is stopped: ${cause}`);
     }
     const { leader } = this.#core;
-    return fail(consensusCodes.notLeader, `the leader is ${leader?.replica ?? 'not known'}`);
+    return fail(
+      consensusCodes.notLeader,
+      `not the leader; the leader is ${leader?.replica ?? 'unknown'}`,
+    );
   }
 
   #start(): void {
--- a/packages/consensus/src/lib/Replicator.ts
+++ b/packages/consensus/src/lib/Replicator.ts
@@ -7,14 +7,14 @@
 import { Progress, type SnapshotTransfer } from './Progress';
 import { RECORD_VERSION, encodeSnapshot } from './records';
 
-/** Time after a commit until followers are told, unless entries tell them before. */
+/** Delay after a commit until it is sent to followers that no append has sent it to. */
 const COMMIT_DELAY_MS = 5;
 
-/** Sends a leader's log and snapshots to the other members. @internal */
+/** Sends the leader's log and snapshots to the other members. @internal */
 export class Replicator implements Disposable {
   readonly #core: Core;
 
-  /** Term of the leader; nothing may be sent in another one. */
+  /** Term of the leader; nothing may be sent in another term. */
   readonly #term: number;
 
   readonly #disposables = new DisposableStore();
@@ -23,7 +23,7 @@
 
   #commitTimer: Disposable | undefined;
 
-  /** The snapshot being sent, shared by all members that need it. */
+  /** The encoded snapshot being sent, shared by all members that need it. */
   #loadedSnapshot: { index: number; term: number; bytes: Uint8Array } | undefined;
 
   #isLoadingSnapshot = false;
@@ -39,7 +39,7 @@
     return this.#progress.get(incarnation);
   }
 
-  /** Sends new entries to all members that have room for them. */
+  /** Sends new entries to all members below their limit of unacknowledged messages. */
   replicate(): void {
     this.#updateMembers();
     for (const progress of this.#progress.values()) this.sendTo(progress);
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Sends the entries that a member lacks, as far as its bound allows. */
+  /** Sends missing entries to a member, up to its limit of unacknowledged messages. */
   sendTo(progress: Progress): void {
     const { store, settings } = this.#core;
     while (progress.maySend && progress.next <= store.lastIndex) {
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Tells followers of a commit soon, so that they apply it without waiting for a heartbeat. */
+  /** Sends the commit index after a short delay, so that followers need not await a heartbeat. */
   announceCommit(): void {
     if (this.#commitTimer || this.#disposables.isDisposed) return;
     const sendCommitIndex = (): void => {
@@ -84,11 +84,11 @@
     this.#commitTimer = this.#core.settings.timer.after(COMMIT_DELAY_MS, sendCommitIndex);
   }
 
-  /** Sends the next part of a snapshot. */
+  /** Sends the chunk of a snapshot that a member requests. */
   continueSnapshot(progress: Progress, { index, nextOffset }: SnapshotReply): void {
     const { transfer } = progress;
     if (!transfer || transfer.index !== index || nextOffset >= transfer.bytes.byteLength) return;
-    // An answer to a part that was sent twice asks for what is on its way already.
+    // A reply to a chunk that was sent twice requests a chunk that is already in flight.
     if (nextOffset === transfer.offset && transfer.sentAt === this.#core.now) return;
     transfer.offset = nextOffset;
     this.#sendChunk(progress, transfer);
@@ -98,7 +98,7 @@
     this.#disposables[Symbol.dispose]();
   }
 
-  /** Follows the membership: starts with new members and forgets old ones. */
+  /** Updates the set of members: adds new ones and drops removed ones. */
   #updateMembers(): void {
     const { peers, store, settings } = this.#core;
     const current = new Set(peers.map(({ incarnation }) => incarnation));
@@ -118,9 +118,9 @@
   }
 
   #sendEntries(progress: Progress, entries: readonly Entry[]): void {
-    assert(this.#core.term === this.#term, 'a leader sends in its own term only');
+    assert(this.#core.term === this.#term, 'a leader must send only in its own term');
     const { store, commitIndex } = this.#core;
-    // A member that waits for a snapshot gets heartbeats that it refuses; they carry the lease.
+    // A member that waits for a snapshot rejects the append, but the heartbeat renews the lease.
     const prevIndex = Math.max(progress.next - 1, store.firstIndex - 1);
     const prevTerm = store.term(prevIndex) ?? 0;
     const stamp = this.#stamp;
@@ -161,7 +161,7 @@
   }
 
   #sendChunk(progress: Progress, transfer: SnapshotTransfer): void {
-    assert(this.#core.term === this.#term, 'a leader sends in its own term only');
+    assert(this.#core.term === this.#term, 'a leader must send only in its own term');
     const { index, term, bytes, offset } = transfer;
     transfer.sentAt = this.#core.now;
     const data = bytes.subarray(offset, offset + this.#core.settings.chunkBytes);
@@ -177,7 +177,7 @@
     });
   }
 
-  /** Sends a part again that has not been answered; a newer snapshot starts over. */
+  /** Resends an unanswered chunk; aborts the transfer if there is a newer snapshot. */
   #resendSnapshot(progress: Progress): void {
     if (progress.mode !== 'snapshot') return;
     const { now, store, settings } = this.#core;
--- a/packages/consensus/src/lib/SnapshotReceiver.ts
+++ b/packages/consensus/src/lib/SnapshotReceiver.ts
@@ -1,18 +1,21 @@
 import type { SnapshotChunk } from './Message';
 
-/** Gathers the parts of one snapshot of one leader; a part of another starts over. @internal */
+/**
+ * Assembles the chunks of a snapshot. A chunk of another snapshot or leader restarts it.
+ * @internal
+ */
 export class SnapshotReceiver {
   #index = 0;
 
-  /** Term of the leader that sends it. */
+  /** Term of the leader that sends the snapshot. */
   #term = 0;
 
   #parts: Uint8Array[] = [];
 
-  /** Bytes received so far: the offset of the part that is needed next. */
+  /** Bytes received so far, which is the offset of the next chunk needed. */
   receivedBytes = 0;
 
-  /** Adds a part; returns the whole snapshot once it is complete. */
+  /** Adds a chunk; returns the snapshot once it is complete. */
   add(term: number, chunk: SnapshotChunk): Uint8Array | undefined {
     if (chunk.index !== this.#index || term !== this.#term) {
       this.#clear();
--- a/packages/consensus/src/lib/codes.ts
+++ b/packages/consensus/src/lib/codes.ts
@@ -56,7 +56,7 @@
     status: 422,
     notRun: true,
     meaning:
-      'The membership change names an unknown replica, is not allowed for its kind, or leaves too few voters that reply.',
+      'The replica is unknown, its kind does not allow the change, or too few voters would remain.',
     remedy: 'Check the list of replicas and correct the change.',
   },
   stopped: {
--- a/packages/consensus/src/lib/dispatch.ts
+++ b/packages/consensus/src/lib/dispatch.ts
@@ -7,13 +7,13 @@
 import type { MembershipChanger } from './MembershipChanger';
 import type { Join, JoinReply, Message, MessageBody } from './Message';
 
-/** The parts of a replica that handle messages. @internal */
+/** Components of a replica that handle messages. @internal */
 export interface Handlers {
   readonly core: Core;
   readonly elector: Elector;
   readonly follower: Follower;
   readonly joiner: Joiner;
-  /** The leadership of the present term; asked anew after a message has changed the term. */
+  /** The leader of the current term on this replica; a getter, as a message may change the term. */
   readonly leader: () => Leader | undefined;
   readonly changer: () => MembershipChanger | undefined;
 }
@@ -22,7 +22,7 @@
   return { ...message, body };
 }
 
-/** Whether a message is meant for this life of the disk and comes from its group. */
+/** Whether a message is for this incarnation and group; adopts the group if there is none yet. */
 function isAddressed(core: Core, { to, group }: Message): boolean {
   if (to.incarnation !== core.identity.incarnation || group === '') return false;
   if (core.group === '') core.saveGroup(group);
@@ -41,7 +41,7 @@
   }
 }
 
-/** Answers to what this replica asked in its present term. */
+/** Handles messages from a leader and replies; a newer term in them is adopted first. */
 function handleInTerm(message: Message, handlers: Handlers): void {
   const { core, elector, follower, leader } = handlers;
   const { body } = message;
@@ -73,7 +73,7 @@
   }
 }
 
-/** Gives a message to the part of the replica that it concerns. @internal */
+/** Routes a message to the component that handles it. @internal */
 export function dispatch(message: Message, handlers: Handlers): void {
   const { core, elector, joiner } = handlers;
   const { body, to } = message;
--- a/packages/consensus/src/lib/migrations.ts
+++ b/packages/consensus/src/lib/migrations.ts
@@ -29,7 +29,7 @@
   target = RECORD_VERSION,
 ): Result<Buffer, Failure> {
   if (frame.version > target) {
-    const message = `${kind} record has version ${frame.version}; the newest supported one is ${target}`;
+    const message = `${kind} record has version ${frame.version}, newer than supported ${target}`;
     return err(new Failure(consensusCodes.versionUnknown, message));
   }
   let { body } = frame;
--- a/packages/consensus/src/lib/recover.ts
+++ b/packages/consensus/src/lib/recover.ts
@@ -22,14 +22,14 @@
   type Snapshot,
 } from './records';
 
-/** A segment and the greatest index in it, which decides when it may go. @internal */
+/** A segment of the log; obsolete once its greatest index is compacted. @internal */
 export interface Segment {
   readonly number: number;
   lastIndex: number;
   bytes: number;
 }
 
-/** What the files of a replica held. @internal */
+/** Contents of the files of a replica. @internal */
 export interface Recovered {
   readonly identity: Identity | undefined;
   readonly state: HardState;
@@ -37,13 +37,13 @@
   /** Entries after the snapshot. */
   readonly entries: readonly Entry[];
   readonly segments: readonly Segment[];
-  /** Bytes of an interrupted write that were cut. */
+  /** Size of an incomplete write at the end of the log that was truncated. */
   readonly truncatedBytes: number;
 }
 
 const INITIAL_STATE: HardState = { term: 0, vote: '', group: '', wasMember: false };
 
-/** Reads a file that is replaced as a whole; undefined if it is missing. */
+/** Reads a file that holds a single record; undefined if it is missing. */
 async function readRecordFile(
   disk: Disk,
   names: readonly string[],
@@ -54,12 +54,12 @@
   const bytes = await disk.read(name);
   const frame = decodeFrame(bytes, 0);
   if (!frame || frame.end !== bytes.byteLength) {
-    return fail(consensusCodes.logDamaged, `the file ${name} is damaged`);
+    return fail(consensusCodes.logDamaged, `file ${name} is damaged`);
   }
   return migrate(kind, frame);
 }
 
-/** Collects entries over all segments; a later entry replaces those from its index on. */
+/** Collects the entries of all segments; a later entry replaces those from its index on. */
 class EntryCollector {
   readonly #snapshot: Snapshot | undefined;
 
@@ -73,7 +73,7 @@
     return this.#snapshot?.index ?? 0;
   }
 
-  /** False when an entry is missing before the one that was read. */
+  /** Adds an entry; returns false if an entry is missing before it. */
   add(entry: Entry): boolean {
     const expected = (this.entries.at(-1)?.index ?? this.#snapshotIndex) + 1;
     if (entry.index > expected) return false;
@@ -83,7 +83,7 @@
     return true;
   }
 
-  /** Whether the entry that the snapshot stands for, if it is there, is of the same term. */
+  /** Whether the entry at the snapshot's index, if present, has the snapshot's term. */
   get matchesSnapshot(): boolean {
     const boundary = this.entries.find((entry) => entry.index === this.#snapshotIndex);
     return !boundary || boundary.term === this.#snapshot?.term;
@@ -96,7 +96,7 @@
 
 interface SegmentScan {
   readonly segment: Segment;
-  /** Length of the part that is whole. */
+  /** Length of the part with complete frames. */
   readonly validBytes: number;
 }
 
@@ -122,7 +122,7 @@
   return ok({ segment, validBytes: offset });
 }
 
-/** Reads the segments in order and cuts an interrupted write at the end of the last one. */
+/** Reads the segments in order and truncates an incomplete write at the end of the last one. */
 async function readSegments(
   disk: Disk,
   numbers: readonly number[],
@@ -137,9 +137,9 @@
     if (scan.isErr()) return err(scan.error);
     const { segment, validBytes } = scan.value;
     if (validBytes < bytes.byteLength) {
-      // Frames are synced one after another: one that follows proves that the bad part was synced.
+      // Frames are synced in order: a later complete frame proves that this part had been synced.
       if (number !== numbers.at(-1) || hasCompleteFrameAfter(bytes, validBytes)) {
-        const message = `${name} is damaged at byte ${validBytes}, before data that is whole`;
+        const message = `${name} is damaged at byte ${validBytes}, before intact data`;
         return fail(consensusCodes.logDamaged, message);
       }
       truncatedBytes = bytes.byteLength - validBytes;
@@ -152,7 +152,7 @@
 }
 
 /**
- * Reads what a replica has kept, and cuts a torn tail.
+ * Reads the files of a replica and truncates a torn write at the end of the log.
  * Fails with `logDamaged` or `versionUnknown`; rejects with the error of the disk.
  * @internal
  */
@@ -174,7 +174,10 @@
   for (const number of obsolete) await disk.remove(segmentName(number));
   const scan = await readSegments(disk, numbers, collector);
   if (!collector.matchesSnapshot) {
-    return fail(consensusCodes.logDamaged, 'the log disagrees with the latest snapshot');
+    return fail(
+      consensusCodes.logDamaged,
+      'the log does not match the term of the latest snapshot',
+    );
   }
   return scan.map(({ segments, truncatedBytes }) => ({
     identity: identity.value && decodeJson<Identity>(identity.value),
--- a/packages/consensus/src/lib/restoreGroup.ts
+++ b/packages/consensus/src/lib/restoreGroup.ts
@@ -8,15 +8,15 @@
 import type { Membership } from './Membership';
 import { RECORD_VERSION, encodeJson, encodeSnapshot, type HardState } from './records';
 
-/** What a restored group starts from. @public */
+/** Initial state of a restored group. @public */
 export interface GroupBackup {
   /** The replica that becomes the only voter. */
   readonly replica: ReplicaName;
-  /** Where the transports of others reach it. */
+  /** Address of that replica for the transports of its peers. */
   readonly address: string;
   /** Replicas with empty disks that may join as voters. */
   readonly seeds: readonly ReplicaName[];
-  /** State of the state machine, as its `snapshot` gave it. */
+  /** State of the state machine, as returned by its `snapshot`. */
   readonly state: Uint8Array;
 }
 
@@ -24,9 +24,10 @@
 const FIRST_TERM = 1;
 
 /**
- * Writes the files of a new group of one voter that starts from a state. The replicas of the old
- * group must be gone for good: the new group knows nothing of them. Opening the disk as a replica
- * follows. Fails with `logDamaged` if the disk is not empty; rejects with the error of the disk.
+ * Writes the files of a new group with a single voter and a given state; open the disk as a
+ * replica afterwards. The replicas of the old group must be gone for good, because the new group
+ * has no record of them. Fails with `logDamaged` if the disk is not empty; rejects with the error
+ * of the disk.
  * @public
  */
 export async function restoreGroup(
@@ -47,7 +48,7 @@
   const hardState: HardState = { term: FIRST_TERM, vote: '', group, wasMember: true };
   const write = (name: string, body: Buffer): Promise<void> =>
     disk.replace(name, encodeFrame(RECORD_VERSION, body));
-  // The identity is last: without it, files of an interrupted restoration are refused.
+  // Written last: without an identity, the files of an interrupted restoration are rejected.
   await write(snapshotName(FIRST_INDEX), encodeSnapshot(snapshot));
   await write(STATE_FILE, encodeJson(hardState));
   await write(IDENTITY_FILE, encodeJson(identity));
