--- a/packages/consensus/src/lib/Elector.test.ts
+++ b/packages/consensus/src/lib/Elector.test.ts
@@ -5,7 +5,7 @@
 
 const FAILOVER_MS = 2000;
 
-/** A follower is cut off for a while; returns how many terms have begun after its return. */
+/** Partitions a follower for 2 s, heals the network and returns how many terms have started. */
 async function countTermsAfterIsolation(unsafe: UnsafeDeviations): Promise<number> {
   const { cluster, leader, others } = await createGroup({ unsafe });
   const [isolated] = others;
@@ -19,12 +19,12 @@
   return (cluster.leader?.replica?.status.term ?? 0) - term;
 }
 
-test('a replica that returns from a partition does not depose the leader', async () => {
+test('a replica that rejoins after a partition does not depose the leader', async () => {
   assert.equal(await countTermsAfterIsolation({}), 0);
   assert.ok((await countTermsAfterIsolation({ skipPreVote: true })) > 0);
 });
 
-test('a command is committed soon after the leader has crashed', async () => {
+test('a command is committed within 2 s of a leader crash', async () => {
   const times = { heartbeatMs: 100, leaseMs: 600, electionTimeoutMs: 700 };
   for (let seed = 1; seed <= 40; seed += 1) {
     const group = await createGroup({ seed, replica: times });
--- a/packages/consensus/src/lib/FileDisk.test.ts
+++ b/packages/consensus/src/lib/FileDisk.test.ts
@@ -11,7 +11,7 @@
   return directory;
 }
 
-test('keeps what was appended, replaced and cut', async (t) => {
+test('keeps appended, replaced and truncated content after reopening', async (t) => {
   const directory = await createDirectory(t);
   const disk = await FileDisk.open(join(directory, 'data'));
   await disk.append('log-1', Buffer.from('abc'));
@@ -31,7 +31,7 @@
   await reopened.close();
 });
 
-test('removes what an interrupted replacement has left', async (t) => {
+test('removes the temporary file of an interrupted replacement', async (t) => {
   const directory = await createDirectory(t);
   await writeFile(join(directory, 'state.tmp'), 'half');
   const disk = await FileDisk.open(directory);
--- a/packages/consensus/src/lib/Follower.test.ts
+++ b/packages/consensus/src/lib/Follower.test.ts
@@ -5,7 +5,7 @@
 
 const SLOW_SYNC_MS = 1000;
 
-/** All machines lose power while a write waits for its sync; tells whether it was answered. */
+/** Crashes all machines while a write awaits its sync; returns whether it was acknowledged. */
 async function crashBeforeSync(unsafe: UnsafeDeviations) {
   const group = await createGroup({ unsafe });
   const { cluster, leader, workload, invariants } = group;
@@ -27,7 +27,7 @@
   return { isAcknowledged, violations: invariants.violations };
 }
 
-test('what is not synced is not acknowledged', async () => {
+test('entries are not acknowledged before they are synced', async () => {
   const safe = await crashBeforeSync({});
   assert.equal(safe.isAcknowledged, false);
   assert.deepEqual([...safe.violations], []);
--- a/packages/consensus/src/lib/Joiner.test.ts
+++ b/packages/consensus/src/lib/Joiner.test.ts
@@ -16,14 +16,14 @@
   return cluster.committedVoters.some((voter) => voter === incarnation);
 }
 
-test('a second disk lost right after a repair loses nothing', async () => {
+test('losing a second disk right after a repair loses no entries', async () => {
   const small = { snapshotEntries: 10, trailingEntries: 2, chunkBytes: 20 };
   for (let seed = 1; seed <= 10; seed += 1) {
     const group = await createGroup({ seed, replica: small });
     const { cluster, leader, others, workload, invariants } = group;
     const [first, slow] = others;
     assert.ok(first && slow);
-    // What the slow follower misses is on the leader and on the replica that is lost first.
+    // The entries that the slow follower lacks are only on the leader and on the first disk lost.
     cluster.network.partition([leader.name], [slow.name]);
     for (let value = 1; value <= 20; value += 1) await write(group, leader, value);
     await loseDisk(group, first);
@@ -42,8 +42,8 @@
 });
 
 /**
- * A write is on the leader and one other replica; that one loses its disk while the leader is down.
- * Returns the group and the replica that was lost.
+ * Commits a write on the leader and one follower. The follower loses its disk while the leader is
+ * down, and restarts with its old incarnation or a new one. Returns the group and that follower.
  */
 async function loseOneOfTwoCopies(keepsIncarnation: boolean) {
   const group = await createGroup();
@@ -62,7 +62,7 @@
   return { group, lost };
 }
 
-test('a replica without its disk does not vote as its old self', async () => {
+test('a replica that lost its disk does not vote as its old incarnation', async () => {
   const { group, lost } = await loseOneOfTwoCopies(false);
   const { cluster, leader } = group;
   assert.equal(await awaitLeader(group, [], 2000), undefined);
@@ -72,7 +72,7 @@
   assert.equal(leader.machine.value, 1);
 });
 
-test('a replica that voted as its old self would lose a write', async () => {
+test('a replica that voted as its old incarnation would lose a write', async () => {
   const { group } = await loseOneOfTwoCopies(true);
   const elected = await awaitLeader(group);
   assert.ok(elected);
@@ -81,7 +81,7 @@
   assert.ok(group.invariants.violations.has('the history is not linearizable'));
 });
 
-test('a founder that lost its disk joins the group instead of founding another', async () => {
+test('a founder that lost its disk joins the group instead of founding a new one', async () => {
   const group = await createGroup();
   const { cluster, invariants } = group;
   const founder = cluster.node('a');
@@ -93,7 +93,7 @@
   assert.deepEqual([...invariants.violations], []);
 });
 
-test('an admitted replica becomes a voter, and a removed one none', async () => {
+test('an admitted replica becomes a voter, and a removed one no longer is', async () => {
   const group = await createGroup();
   const { cluster, leader } = group;
   const added = cluster.add('d');
@@ -111,7 +111,7 @@
   assert.equal(leader.replica?.status.role, 'learner');
 });
 
-test('a leader whose own removal is not committed may still be elected', async () => {
+test('a leader can be re-elected while its own removal is not committed', async () => {
   const group = await createGroup({ count: 2 });
   const { cluster, leader, others, invariants } = group;
   const [other] = others;
@@ -127,7 +127,7 @@
   assert.deepEqual([...invariants.violations], []);
 });
 
-test('a replica that is admitted as a learner follows and never votes', async () => {
+test('a replica admitted as a learner applies commands and never votes', async () => {
   const group = await createGroup();
   const { cluster, leader, others } = group;
   const learner = cluster.add('observer');
@@ -140,7 +140,7 @@
   assert.equal(learner.replica?.status.role, 'learner');
   const rejected = await learner.replica?.propose(new Uint8Array(1));
   assert.equal(rejected?._unsafeUnwrapErr().code.name, 'notLeader');
-  // With both other voters down, the learner is no help to a quorum.
+  // With both other voters down, the learner does not count for a quorum.
   others.forEach((node) => cluster.crash(node));
   await cluster.run(1000);
   assert.equal(leader.replica?.holdsLease, false);
--- a/packages/consensus/src/lib/Leader.test.ts
+++ b/packages/consensus/src/lib/Leader.test.ts
@@ -10,8 +10,8 @@
 }
 
 /**
- * The schedule of figure 8 of the Raft paper with three replicas: entries of an old term reach a
- * majority under a later leader, and a third leader replaces them.
+ * The schedule of figure 8 of the Raft paper with three replicas: a later leader replicates entries
+ * of an old term to a majority, then the next leader overwrites them.
  */
 async function replaceOldTermEntries(seed: number, unsafe: UnsafeDeviations) {
   const { cluster, leader, others, invariants } = await createGroup({
@@ -53,13 +53,13 @@
   return invariants.violations;
 }
 
-test('entries of an older term are committed only with one of the own term', async () => {
+test('entries of an older term are committed only with an entry of the current term', async () => {
   assert.deepEqual([...(await replaceOldTermEntries(1, {}))], []);
   const violations = await replaceOldTermEntries(1, { commitOlderTerms: true });
   assert.ok(violations.has('replicas applied different commands at one index'));
 });
 
-test('proposals beyond the bounds are refused as not run', async () => {
+test('proposals beyond the limits are rejected as not run', async () => {
   const limits = { maxProposals: 3, maxCommandBytes: 100 };
   const { cluster, leader, others } = await createGroup({ replica: limits });
   cluster.network.partition(
@@ -74,7 +74,7 @@
   assert.equal(rejected?._unsafeUnwrapErr().notRun, true);
 });
 
-test('leadership is handed over without waiting for the lease', async () => {
+test('leadership is transferred without waiting for the lease', async () => {
   const group = await createGroup();
   const { cluster, leader, invariants } = group;
   const start = cluster.base.now();
@@ -89,7 +89,7 @@
   assert.deepEqual([...invariants.violations], []);
 });
 
-test('a leader that learns of a newer term from an answer sends nothing in that term', async () => {
+test('a leader that receives a newer term in a reply sends no appends in that term', async () => {
   const { cluster, leader, others } = await createGroup();
   const [other] = others;
   const status = leader.replica?.status;
--- a/packages/consensus/src/lib/LeaderLease.test.ts
+++ b/packages/consensus/src/lib/LeaderLease.test.ts
@@ -9,8 +9,8 @@
 const TWO_LEASES = 'two replicas hold the lease';
 
 /**
- * One follower is cut off from the leader only, stands for election, and the leader is then cut
- * off from the rest while its lease runs.
+ * Partitions the leader from one follower, which starts elections, and then from the other follower
+ * while the lease may still be valid. If `restartsVoter`, the other follower restarts before that.
  */
 async function deposeUnderLease(seed: number, unsafe: UnsafeDeviations, restartsVoter: boolean) {
   const group = await createGroup({ seed, unsafe });
@@ -35,7 +35,7 @@
   return invariants.violations;
 }
 
-/** Violations over a few fixed seeds. */
+/** Collects the violations over a fixed range of seeds. */
 async function deposeOverSeeds(unsafe: UnsafeDeviations, restartsVoter: boolean) {
   const found = new Set<string>();
   for (let seed = 1; seed <= SEED_COUNT; seed += 1) {
@@ -45,19 +45,19 @@
   return found;
 }
 
-test('a voter that granted a lease votes for nobody until it has run out', async () => {
+test('a voter that granted a lease does not vote until the lease expires', async () => {
   assert.deepEqual([...(await deposeOverSeeds({}, false))], []);
   const found = await deposeOverSeeds({ ignoreGrantedLease: true }, false);
   assert.ok(found.has(TWO_LEASES) && found.has(NOT_LINEARIZABLE));
 });
 
-test('a new leader waits out a lease that a restarted voter may have granted', async () => {
+test('a new leader waits for leases that voters may have granted before a restart', async () => {
   assert.deepEqual([...(await deposeOverSeeds({}, true))], []);
   const found = await deposeOverSeeds({ skipLeaseWait: true }, true);
   assert.ok(found.has(TWO_LEASES) && found.has(NOT_LINEARIZABLE));
 });
 
-/** The leader's machine is suspended, so that its monotonic clock stands still. */
+/** Suspends the leader's machine, so that its monotonic clock stops. */
 async function suspendLeader(unsafe: UnsafeDeviations) {
   const group = await createGroup({ unsafe });
   const { cluster, leader, invariants } = group;
@@ -69,12 +69,12 @@
   return invariants.violations;
 }
 
-test('a leader whose machine was suspended does not believe in its lease', async () => {
+test('a leader does not rely on its lease after its machine was suspended', async () => {
   assert.deepEqual([...(await suspendLeader({}))], []);
   assert.ok((await suspendLeader({ ignoreWallClock: true })).has(TWO_LEASES));
 });
 
-test('a frozen leader has lost its lease when it goes on', async () => {
+test('a leader that was paused has lost its lease when it resumes', async () => {
   const group = await createGroup();
   const { cluster, leader, invariants } = group;
   leader.timer.freeze();
@@ -86,7 +86,7 @@
   assert.deepEqual([...invariants.violations], []);
 });
 
-test('a leader without a quorum steps down and answers what it had taken', async () => {
+test('a leader without a quorum steps down and settles its pending proposals', async () => {
   const { cluster, leader, others } = await createGroup();
   cluster.network.partition(
     [leader.name],
--- a/packages/consensus/src/lib/LogStore.test.ts
+++ b/packages/consensus/src/lib/LogStore.test.ts
@@ -40,7 +40,7 @@
   return new LogStore(disk, (await recover(disk))._unsafeUnwrap(), LIMITS);
 }
 
-test('entries that were synced are there after a crash at any time', async () => {
+test('synced entries survive a crash at any time', async () => {
   const property = fc.asyncProperty(fc.integer(), fc.nat(60), async (seed, crashMs) => {
     const { disk, timer, runTimers } = createDisk(seed);
     const random = new Random(seed);
@@ -62,7 +62,7 @@
   await fc.assert(property, { seed: 7, numRuns: 200 });
 });
 
-test('a log that is cut at any byte keeps its whole frames', async () => {
+test('a log truncated at any byte keeps its complete frames', async () => {
   const { disk, runTimers } = createDisk();
   const store = await open(disk);
   for (let index = 1; index <= 4; index += 1) {
@@ -84,7 +84,7 @@
   }
 });
 
-test('a flipped bit in a part that was synced before others is refused', async () => {
+test('a flipped bit before later synced data is reported as damage', async () => {
   const property = fc.asyncProperty(fc.integer(), async (seed) => {
     const { disk, runTimers } = createDisk(seed);
     const store = await open(disk);
@@ -99,7 +99,7 @@
   await fc.assert(property, { seed: 3, numRuns: 100 });
 });
 
-test('entries of a newer term replace the old ones also after a restart', async () => {
+test('entries of a newer term replace the old ones, also after a restart', async () => {
   const { disk, runTimers } = createDisk();
   const store = await open(disk);
   store.append(createEntries(1, 9, 1));
@@ -112,7 +112,7 @@
   assert.deepEqual(entries, [...createEntries(1, 3, 1), ...createEntries(4, 5, 2)]);
 });
 
-test('a snapshot removes what it stands for and keeps a few entries in memory', async () => {
+test('a snapshot removes the segments it covers and keeps trailing entries in memory', async () => {
   const { disk, runTimers } = createDisk();
   const store = await open(disk);
   for (let index = 1; index <= 40; index += 1) {
@@ -130,7 +130,7 @@
   assert.equal(Buffer.from(snapshot?.state ?? '').toString(), 'state');
 });
 
-test('an installed snapshot starts the log over, also across restarts', async () => {
+test('an installed snapshot replaces the log, also after a restart', async () => {
   const { disk, runTimers } = createDisk();
   const store = await open(disk);
   store.append(createEntries(1, 30, 1));
--- a/packages/consensus/src/lib/Membership.test.ts
+++ b/packages/consensus/src/lib/Membership.test.ts
@@ -28,7 +28,7 @@
   );
 }
 
-/** Sets of incarnations that decide under a membership. */
+/** Subsets of `all` that form a quorum of a membership. */
 function quorums(membership: Membership, all: readonly Incarnation[]): Incarnation[][] {
   const sets = voterSets(membership);
   return subsets(all).filter((subset) =>
@@ -45,7 +45,7 @@
   return withJoiner(membership, { replica: name, incarnation }, '', true);
 }
 
-/** Applies one change as the leader would; unchanged if it is not due. */
+/** Applies one change as the leader would; returns the same membership if it is not allowed. */
 function change(
   membership: Membership,
   kind: number,
@@ -63,7 +63,7 @@
   return voters(removed).length > 0 ? removed : membership;
 }
 
-test('a membership and the next one have no quorums without a common voter', () => {
+test('any quorum of a membership and any of the next one have a common voter', () => {
   const step = fc.record({ kind: fc.nat(3), replica: fc.nat(4) });
   const property = fc.property(fc.array(step, { maxLength: 14 }), (steps) => {
     const founder = join(EMPTY_MEMBERSHIP, 0, 0);
@@ -92,7 +92,7 @@
   assert.deepEqual(decodeMembership(encodeMembership(membership)), membership);
 });
 
-test('the value of a quorum is the one that a majority of each set has reached', () => {
+test('the quorum value is the value that a majority of each voter set has reached', () => {
   const values: Record<string, number> = { a: 5, b: 3, c: 1, d: 9 };
   const set = (...names: string[]): Incarnation[] => names.map((name) => asId<'incarnation'>(name));
   const valueOf = (name: Incarnation): number => values[name] ?? 0;
@@ -102,7 +102,7 @@
   assert.equal(quorumValue([set()], valueOf), -Infinity);
 });
 
-test('a replacement is reported as joining until it is settled', () => {
+test('a replacement is reported as joining until its joint configuration ends', () => {
   const first = withPromoted(join(EMPTY_MEMBERSHIP, 0, 1), asId<'incarnation'>(`${REPLICAS[0]}1`));
   const replaced = withPromoted(join(first, 0, 2), asId<'incarnation'>(`${REPLICAS[0]}2`));
   const kinds = (membership: Membership) => membership.members.map(({ kind }) => kind);
--- a/packages/consensus/src/lib/Replica.test.ts
+++ b/packages/consensus/src/lib/Replica.test.ts
@@ -21,7 +21,7 @@
   });
 }
 
-test('a whole group that restarts has all that was acknowledged', async () => {
+test('a group that restarts completely keeps all acknowledged writes', async () => {
   const group = await createGroup();
   const { cluster } = group;
   for (let value = 1; value <= 5; value += 1) await write(group, group.leader, value);
@@ -32,7 +32,7 @@
   assert.equal(cluster.leader?.machine.value, 5);
 });
 
-test('a follower that is down takes no memory, and catches up by a snapshot', async () => {
+test('a follower that is down does not grow the log, and catches up by a snapshot', async () => {
   const limits = { snapshotEntries: 50, trailingEntries: 10, chunkBytes: 16 };
   const group = await createGroup({ replica: limits });
   const { cluster, leader, others } = group;
@@ -72,7 +72,7 @@
   return { log, machine };
 }
 
-test('a single replica on real files goes on after each restart', async (t) => {
+test('a single replica on real files continues after each restart', async (t) => {
   const directory = await mkdtemp(join(tmpdir(), 'consensus-'));
   t.after(() => rm(directory, { recursive: true }));
   for (let run = 0; run < 3; run += 1) {
@@ -88,7 +88,7 @@
   }
 });
 
-test('a replica stops when its disk fails, and says so', async () => {
+test('a replica stops and reports the failure when its disk fails', async () => {
   const { cluster, leader } = await createGroup();
   leader.disk.append = () => Promise.reject(new Error('no space'));
   const proposal = leader.replica?.propose(new Uint8Array(1));
@@ -97,7 +97,7 @@
   assert.equal(leader.replica?.status.failure?.code.name, 'diskFailed');
 });
 
-test('a replica whose state machine refuses its snapshot does not open', async () => {
+test('a replica whose state machine cannot restore its snapshot does not open', async () => {
   const group = await createGroup({ replica: { snapshotEntries: 5 } });
   const { cluster, others } = group;
   for (let value = 1; value <= 20; value += 1) await write(group, group.leader, value);
--- a/packages/consensus/src/lib/migrations.test.ts
+++ b/packages/consensus/src/lib/migrations.test.ts
@@ -8,7 +8,7 @@
 
 const steps = [appendLetter('add-second', 2, 'c'), appendLetter('add-first', 1, 'b')];
 
-test('a record passes the steps from its version on', () => {
+test('a record passes all migrations from its version on', () => {
   const body = Buffer.from('a');
   const migrated = (version: number) =>
     migrate('entries', { version, body }, steps, 4)._unsafeUnwrap().toString();
@@ -18,7 +18,7 @@
   assert.equal(migrate('state', { version: 1, body }, steps, 4)._unsafeUnwrap().toString(), 'a');
 });
 
-test('a record of a newer version is refused', () => {
+test('a record of a newer version is rejected', () => {
   const result = migrate('entries', { version: 5, body: Buffer.from('a') }, steps, 4);
   assert.equal(result._unsafeUnwrapErr().code.name, 'versionUnknown');
 });
--- a/packages/consensus/src/lib/restoreGroup.test.ts
+++ b/packages/consensus/src/lib/restoreGroup.test.ts
@@ -6,7 +6,7 @@
 
 const RESTORE_MS = 100;
 
-test('a restored group starts from the state, and others join it', async () => {
+test('a restored group starts from the given state, and other replicas join it', async () => {
   const cluster = new SimulatedCluster({ seed: 1, names: ['a', 'b', 'c'] });
   const founder = cluster.node('a');
   const backup = {
--- a/packages/consensus/src/lib/roleMachine.test.ts
+++ b/packages/consensus/src/lib/roleMachine.test.ts
@@ -26,7 +26,7 @@
   return { send, trace };
 }
 
-test('a voter stands with a pre-vote, then a vote, and leads until it is deposed', () => {
+test('a voter runs a pre-vote and then a vote, and leads until a newer term', () => {
   const { send, trace } = createRoles();
   assert.equal(send('electionTimeout'), 'learner');
   assert.equal(send('voteGained'), 'follower');
@@ -40,7 +40,7 @@
   assert.deepEqual(effects, ['startPreVote', 'startVote', 'startLeading', 'stopLeading']);
 });
 
-test('a candidate that is not elected asks for pre-votes again', () => {
+test('a candidate that is not elected runs a pre-vote again', () => {
   const { send } = createRoles();
   assert.equal(send('voteGained', 'electionTimeout', 'preVoteWon'), 'candidate');
   assert.equal(send('electionTimeout'), 'preCandidate');
@@ -48,7 +48,7 @@
   assert.equal(send('transferRequested'), 'candidate');
 });
 
-test('a leader that stops gives up leading first', () => {
+test('a leader that is stopped ends its leadership first', () => {
   const { send, trace } = createRoles();
   send('voteGained', 'transferRequested', 'voteWon');
   assert.equal(send('stop'), 'stopped');
