--- a/packages/consensus/src/lib/Membership.ts
+++ b/packages/consensus/src/lib/Membership.ts
@@ -131,7 +131,7 @@
 
 /**
  * The membership as reported to embedders. A replacement counts as joining until its joint
- * configuration ends: before, the loss of another voter may leave the group without a quorum.
+ * configuration ends: until then, losing another voter may leave the group without a quorum.
  * @internal
  */
 export function reportedMembership(membership: Membership): Membership {
--- a/packages/consensus/src/lib/MembershipChanger.ts
+++ b/packages/consensus/src/lib/MembershipChanger.ts
@@ -43,7 +43,7 @@
     this.#leader = leader;
   }
 
-  /** Admits a replica by name; it is added once it requests to join. */
+  /** Admits a replica by name; it is added on its join request. */
   admit(replica: ReplicaName, voter: boolean): Promise<Result<void, Failure>> {
     return this.#proposeChange(withAdmission(this.#latest, { replica, voter }));
   }
--- a/packages/consensus/src/lib/Message.ts
+++ b/packages/consensus/src/lib/Message.ts
@@ -83,7 +83,7 @@
 }
 
 /**
- * Requests the next chunk of a snapshot. With index 0 it answers a heartbeat while the follower
+ * Requests the next chunk of a snapshot. With index 0 it replies to a heartbeat while the follower
  * installs a snapshot, and only echoes the stamp.
  * @public
  */
--- a/packages/consensus/src/lib/Progress.ts
+++ b/packages/consensus/src/lib/Progress.ts
@@ -34,7 +34,7 @@
   /** Index of the entry to send next. */
   next: number;
 
-  /** Whether a probe is unanswered. */
+  /** Whether a probe was sent that the member has not replied to. */
   isProbing = false;
 
   transfer: SnapshotTransfer | undefined;
--- a/packages/consensus/src/lib/Replica.ts
+++ b/packages/consensus/src/lib/Replica.ts
@@ -162,7 +162,7 @@
     }
   }
 
-  /** Admits a replica by name, as a voter or a permanent learner; it is added once it asks. */
+  /** Admits a replica by name, as a voter or permanent learner; it is added on its join request. */
   async addReplica(replica: ReplicaName, voter = true): Promise<Result<void, Failure>> {
     if (!this.#leadership) return this.#notLeaderFailure();
     return this.#leadership.changer.admit(replica, voter);
--- a/packages/consensus/src/lib/Replicator.ts
+++ b/packages/consensus/src/lib/Replicator.ts
@@ -177,7 +177,7 @@
     });
   }
 
-  /** Resends an unanswered chunk; aborts the transfer if there is a newer snapshot. */
+  /** Resends a chunk without a reply; aborts the transfer if there is a newer snapshot. */
   #resendSnapshot(progress: Progress): void {
     if (progress.mode !== 'snapshot') return;
     const { now, store, settings } = this.#core;
--- a/packages/consensus/src/lib/isMessage.test.ts
+++ b/packages/consensus/src/lib/isMessage.test.ts
@@ -5,7 +5,7 @@
 import { isMessage } from './isMessage';
 import type { Message } from './Message';
 
-test('accepts messages from replicas, also after MessagePack, and rejects incomplete ones', async () => {
+test('accepts messages of replicas, also after MessagePack, and no incomplete ones', async () => {
   const limits = { snapshotEntries: 10, trailingEntries: 2, chunkBytes: 16 };
   const group = await createGroup({ replica: limits });
   const { cluster, leader, others } = group;
--- a/packages/consensus/src/lib/records.ts
+++ b/packages/consensus/src/lib/records.ts
@@ -14,7 +14,7 @@
   /** Incarnation that this replica voted for in `term`; empty if none. */
   readonly vote: Incarnation | '';
   readonly group: GroupId | '';
-  /** Whether this incarnation has ever been a member. A removed one does not ask to join again. */
+  /** Whether this incarnation was ever a member. A removed one does not request to join again. */
   readonly wasMember: boolean;
 }
 
--- a/packages/consensus/src/lib/roleMachine.ts
+++ b/packages/consensus/src/lib/roleMachine.ts
@@ -26,6 +26,7 @@
   startVote(): void;
   startLeading(): void;
   stopLeading(): void;
+  /** Releases timers and detaches from the transport. */
   release(): void;
 }
 
