--- a/packages/policy/src/lib/limits/WorkspaceLimiter.ts
+++ b/packages/policy/src/lib/limits/WorkspaceLimiter.ts
@@ -76,24 +76,16 @@
     account.requestedTokens += work;
     account.peakRequests = Math.max(account.peakRequests, account.running + 1);
     if (account.running >= this.#requestLimitOf(workspace, plan, now)) {
-      return fail(
-        requestCodes.limitReached,
-        `${workspace} has reached its limit of concurrent requests`,
-        {
-          retryAfterMs: CONCURRENCY_RETRY_AFTER_MS,
-        },
-      );
+      return fail(requestCodes.limitReached, `${workspace} has its limit of requests running`, {
+        retryAfterMs: CONCURRENCY_RETRY_AFTER_MS,
+      });
     }
     const waitMs = plan?.tokensPerSecond === undefined ? 0 : account.bucket.waitMs(now);
     if (waitMs > 0) {
       const retryAfterMs = Math.min(waitMs, GRANT_TERM_MS);
-      return fail(
-        requestCodes.limitReached,
-        `${workspace} has exceeded its limit of tokens per second`,
-        {
-          retryAfterMs,
-        },
-      );
+      return fail(requestCodes.limitReached, `${workspace} is over its tokens a second`, {
+        retryAfterMs,
+      });
     }
     account.bucket.consume(work, now);
     account.running += 1;
