--- a/packages/entry/bench/entry.ts
+++ b/packages/entry/bench/entry.ts
@@ -60,14 +60,14 @@
 
 async function withDeployment<T>(
   plan: DeploymentPlan,
-  use: (deployment: Deployment, callers: CallerPool) => Promise<T>,
+  measure: (deployment: Deployment, callers: CallerPool) => Promise<T>,
 ): Promise<T> {
   const deployment = new Deployment(plan);
   try {
     await deployment.start();
     const { secret } = await deployment.giveKey('thapathali-traps');
     const callers = new CallerPool(new URL(deployment.entryUrl(1)).host, secret);
-    const result = await use(deployment, callers);
+    const result = await measure(deployment, callers);
     callers.close();
     return result;
   } finally {
@@ -94,8 +94,8 @@
 
 /** Lengths with which the streams of the ramp end evenly over one lifetime after it. */
 function rampLength(index: number): number {
-  const rampLeft = RATE * (RAMP_MS / 1000) * (1 - index / STREAMS);
-  return rampLeft + (ANSWER_TOKENS * ((index * 7919) % STREAMS)) / STREAMS;
+  const remainingRampTokens = RATE * (RAMP_MS / 1000) * (1 - index / STREAMS);
+  return remainingRampTokens + (ANSWER_TOKENS * ((index * 7919) % STREAMS)) / STREAMS;
 }
 
 const steady = await withDeployment(
--- a/packages/entry/src/lib/CallerServer.test.ts
+++ b/packages/entry/src/lib/CallerServer.test.ts
@@ -32,7 +32,7 @@
 }
 
 /** Sends bytes and resolves to what came back until the server closed. */
-function exchange(address: string, text: string): Promise<string> {
+function sendRaw(address: string, text: string): Promise<string> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve) => {
     const socket = connect(port, host, () => socket.write(text));
@@ -58,21 +58,21 @@
 }
 
 test('new connections get a certificate that has changed, and an unusable one is left out', async (t) => {
-  const folder = mkdtempSync(join(tmpdir(), 'berylwood-tls-'));
-  t.after(() => rmSync(folder, { recursive: true }));
-  const authority = createAuthority(folder);
+  const directory = mkdtempSync(join(tmpdir(), 'berylwood-tls-'));
+  t.after(() => rmSync(directory, { recursive: true }));
+  const authority = createAuthority(directory);
   const [first, second] = [authority.sign('first'), authority.sign('second')];
-  const files = { certificate: join(folder, 'used.pem'), key: join(folder, 'used.key') };
-  const use = ({ certificate, key }: typeof first): void => {
+  const files = { certificate: join(directory, 'used.pem'), key: join(directory, 'used.key') };
+  const install = ({ certificate, key }: typeof first): void => {
     copyFileSync(certificate, files.certificate);
     copyFileSync(key, files.key);
   };
-  use(first);
+  install(first);
   const timer = new VirtualTimer();
   const watch = new CertificateWatch(files, timer, createSilentJournal(timer));
   const address = await createServer(t, watch);
   assert.equal(await fetchSubject(address, authority.file), 'first');
-  use(second);
+  install(second);
   timer.advance(2000);
   assert.equal(await fetchSubject(address, authority.file), 'second');
   writeFileSync(files.certificate, 'broken');
@@ -87,10 +87,10 @@
   const twice = `${head}content-length: 3\r\ncontent-length: 4\r\n\r\nabcd`;
   const folded = `${head}content-length : 3\r\n\r\nabc`;
   for (const text of [both, twice, folded]) {
-    assert.match(await exchange(address, text), /^HTTP\/1\.1 400 /);
+    assert.match(await sendRaw(address, text), /^HTTP\/1\.1 400 /);
   }
   const startedAt = new SystemTimer().now();
-  assert.match(await exchange(address, head), /^HTTP\/1\.1 408 /);
+  assert.match(await sendRaw(address, head), /^HTTP\/1\.1 408 /);
   assert.ok(new SystemTimer().now() - startedAt < 3000);
 });
 
--- a/packages/entry/src/lib/CallerServer.ts
+++ b/packages/entry/src/lib/CallerServer.ts
@@ -13,13 +13,13 @@
   metrics(): Promise<string>;
 }
 
-const KEEP_ALIVE_MS = 65_000;
+const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
 /** Time that a connection is kept after its answer while the server closes; 0 would mean for ever. */
-const CLOSING_KEEP_ALIVE_MS = 1;
+const CLOSING_KEEP_ALIVE_TIMEOUT_MS = 1;
 
 const MAX_HEADER_BYTES = 32 * 1024;
-const CONNECTION_CHECK_MS = 1000;
+const CONNECTION_CHECK_INTERVAL_MS = 1000;
 
 /** HTTP/1.1 listener for callers, with TLS when a certificate is given, with health, readiness and metrics. @internal */
 export class CallerServer {
@@ -37,8 +37,8 @@
     const options = {
       headersTimeout: settings.headersTimeoutMs,
       requestTimeout: settings.bodyTimeoutMs,
-      keepAliveTimeout: KEEP_ALIVE_MS,
-      connectionsCheckingInterval: CONNECTION_CHECK_MS,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MS,
+      connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MS,
       maxHeaderSize: MAX_HEADER_BYTES,
       noDelay: true,
     };
@@ -65,7 +65,7 @@
   async close(): Promise<void> {
     this.#isClosing = true;
     // A connection whose answer had begun before is kept open by its headers, so it ends as idle.
-    this.#server.keepAliveTimeout = CLOSING_KEEP_ALIVE_MS;
+    this.#server.keepAliveTimeout = CLOSING_KEEP_ALIVE_TIMEOUT_MS;
     const closed = new Promise((resolve) => {
       this.#server.close(resolve);
     });
--- a/packages/entry/src/lib/ClaimClient.ts
+++ b/packages/entry/src/lib/ClaimClient.ts
@@ -12,12 +12,12 @@
 
 const CLAIM_TIMEOUT_MS = 3000;
 /** Time in which the sidecar's own word on the outcome goes first, in milliseconds. */
-const UNKNOWN_DELAY_MS = 20_000;
+const UNKNOWN_SETTLE_DELAY_MS = 20_000;
 
-const SETTLE_RETRY_MS = 500;
+const SETTLE_RETRY_INTERVAL_MS = 500;
 
 /** Tries to store an outcome; a claim that stays unsettled is answered as running. */
-const SETTLE_TRIES = 60;
+const MAX_SETTLE_ATTEMPTS = 60;
 
 /** Claims requests that may not be repeated, and stores outcomes that only the entry knows. @internal */
 export class ClaimClient {
@@ -61,14 +61,14 @@
   settleFailure(exchange: Exchange, failure: Failure): void {
     if (failure.notRun === true) this.settleNotRun(exchange);
     if (failure.notRun !== 'unknown') return;
-    this.#timer.after(UNKNOWN_DELAY_MS, () => {
+    this.#timer.after(UNKNOWN_SETTLE_DELAY_MS, () => {
       this.#settle(exchange, 'unknown', failure.code.status).catch(() => {});
     });
   }
 
   async #settle(exchange: Exchange, outcome: 'notRun' | 'unknown', status: number): Promise<void> {
     const { order } = exchange;
-    for (let tries = 0; tries < SETTLE_TRIES; tries += 1) {
+    for (let tries = 0; tries < MAX_SETTLE_ATTEMPTS; tries += 1) {
       const answer = await this.#subscription.call({
         type: 'settle',
         workspace: order.job.workspace,
@@ -80,7 +80,7 @@
         body: new Uint8Array(),
       });
       if (answer.isOk()) return;
-      await this.#timer.sleep(SETTLE_RETRY_MS);
+      await this.#timer.sleep(SETTLE_RETRY_INTERVAL_MS);
     }
   }
 }
--- a/packages/entry/src/lib/ClaimRun.ts
+++ b/packages/entry/src/lib/ClaimRun.ts
@@ -63,7 +63,7 @@
       this.#exchange.fail(new Failure(claimSpent, claimSpent.meaning));
     } else {
       // The attempt of this resend has not run, but the one before it may have.
-      this.#exchange.forgetProof();
+      this.#exchange.markPossiblyRun();
       this.#exchange.fail(new Failure(outcomeUnknown, outcomeUnknown.meaning));
     }
   }
--- a/packages/entry/src/lib/Dispatcher.ts
+++ b/packages/entry/src/lib/Dispatcher.ts
@@ -14,8 +14,8 @@
 import { ClaimRun } from './ClaimRun';
 import type { EndpointTable } from './EndpointTable';
 import { entryEvents } from './events';
-import type { Exchange, Setback } from './Exchange';
-import { pinSuspect, suitable } from './pinSuspect';
+import type { Exchange, AttemptFailure } from './Exchange';
+import { pinSuspect, suitableEndpoints } from './pinSuspect';
 import type { Recovery } from './Recovery';
 
 /** Options of a dispatcher. @internal */
@@ -33,15 +33,15 @@
 }
 
 /** States in which no attempt is under way. */
-const WAITING = new Set(['waiting', 'deferred', 'lost', 'broken']);
+const STATES_WITHOUT_ATTEMPT = new Set(['waiting', 'deferred', 'lost', 'broken']);
 
 /** Longest wait for a suspicion to be committed, in milliseconds. */
-const SUSPICION_LIMIT_MS = 3000;
+const SUSPICION_TIMEOUT_MS = 3000;
 
-const SUSPICION_POLL_MS = 20;
+const SUSPICION_POLL_INTERVAL_MS = 20;
 
-const MIN_WAKE_MS = 1;
-const KEEP_ALIVE_MS = 1000;
+const MIN_DECISION_DELAY_MS = 1;
+const KEEP_ALIVE_INTERVAL_MS = 1000;
 
 type Outcome = 'completed' | 'cancelled' | 'refused' | 'failed';
 
@@ -53,9 +53,9 @@
 
   readonly #byAttempt = new Map<AttemptId, Exchange>();
 
-  readonly #keepAlive: Disposable;
+  readonly #keepAliveTimer: Disposable;
 
-  #wake: Disposable | undefined;
+  #decisionTimer: Disposable | undefined;
 
   #isDeciding = false;
 
@@ -63,15 +63,16 @@
     this.#options = options;
     const { endpoints, scheduler, timer } = options;
     endpoints.onMessage = (endpoint, message) => this.#receive(endpoint, message);
-    endpoints.onPlace = (place) => this.#forEachAt(place.endpoint, (item) => item.attach(place));
+    endpoints.onConnected = (connection) =>
+      this.#forEachOnEndpoint(connection.endpoint, (item) => item.attach(connection));
     endpoints.onLinkLost = (endpoint, link) => {
-      this.#forEachAt(endpoint, (exchange) => exchange.detach(link));
+      this.#forEachOnEndpoint(endpoint, (exchange) => exchange.detach(link));
     };
     endpoints.onChange = () => {
       scheduler.setCandidates(endpoints.candidates, timer.now());
       this.decide();
     };
-    this.#keepAlive = timer.every(KEEP_ALIVE_MS, () => {
+    this.#keepAliveTimer = timer.every(KEEP_ALIVE_INTERVAL_MS, () => {
       for (const { writer } of this.#exchanges.values()) writer.keepAlive();
     });
   }
@@ -91,7 +92,7 @@
     const { request, job } = exchange.order;
     this.#exchanges.set(request, exchange);
     exchange.onEnd = (outcome, failure) => this.#end(exchange, outcome, failure);
-    exchange.onSetback = (setback) => this.#recover(exchange, setback);
+    exchange.onAttemptFailed = (attemptFailure) => this.#recover(exchange, attemptFailure);
     exchange.onProgress = (tokens) => scheduler.progressed(request, tokens, timer.now());
     exchange.onState = () => this.#armTimeout(exchange);
     exchange.response.once('close', () => this.#callerClosed(exchange));
@@ -115,13 +116,14 @@
       }
     }
     this.#isDeciding = false;
-    this.#armWake();
+    this.#armDecisionTimer();
   }
 
   /** Refuses what has not been dispatched and matches. */
-  refuseWaiting(failure: Failure, matches: (exchange: Exchange) => boolean): void {
+  rejectWaiting(failure: Failure, matches: (exchange: Exchange) => boolean): void {
     for (const exchange of [...this.#exchanges.values()]) {
-      const isWaiting = WAITING.has(exchange.lifecycle.state) && exchange.crashes === 0;
+      const isWaiting =
+        STATES_WITHOUT_ATTEMPT.has(exchange.lifecycle.state) && exchange.crashes === 0;
       if (isWaiting && matches(exchange)) exchange.fail(failure);
     }
   }
@@ -141,16 +143,18 @@
   }
 
   [Symbol.dispose](): void {
-    this.#keepAlive[Symbol.dispose]();
-    this.#wake?.[Symbol.dispose]();
+    this.#keepAliveTimer[Symbol.dispose]();
+    this.#decisionTimer?.[Symbol.dispose]();
   }
 
-  #armWake(): void {
+  #armDecisionTimer(): void {
     const { scheduler, timer } = this.#options;
-    this.#wake?.[Symbol.dispose]();
+    this.#decisionTimer?.[Symbol.dispose]();
     const at = scheduler.nextAt(timer.now());
     if (at === undefined) return;
-    this.#wake = timer.after(Math.max(MIN_WAKE_MS, at - timer.now()), () => this.decide());
+    this.#decisionTimer = timer.after(Math.max(MIN_DECISION_DELAY_MS, at - timer.now()), () =>
+      this.decide(),
+    );
   }
 
   #armTimeout(exchange: Exchange): void {
@@ -163,8 +167,9 @@
   }
 
   #expire(exchange: Exchange): void {
-    const isUnanswered = exchange.lifecycle.state === 'revoking';
-    if (isUnanswered && exchange.place) this.#options.endpoints.suspect(exchange.place.endpoint);
+    const isRevokeUnanswered = exchange.lifecycle.state === 'revoking';
+    if (isRevokeUnanswered && exchange.connection)
+      this.#options.endpoints.suspect(exchange.connection.endpoint);
     exchange.expire();
   }
 
@@ -190,16 +195,16 @@
 
   #dispatch(exchange: Exchange, endpoint: EndpointId): void {
     const { endpoints, timer, journal, recovery, mayStart } = this.#options;
-    const place = mayStart() ? endpoints.placeOf(endpoint) : undefined;
+    const connection = mayStart() ? endpoints.connectionTo(endpoint) : undefined;
     const { order, attempt } = exchange;
-    if (!place) {
+    if (!connection) {
       const failure = new Failure(requestCodes.noEndpoint, 'the endpoint has just gone');
       exchange.defer(failure);
       return;
     }
-    if (exchange.attempts === 0) recovery.dispatched();
+    if (exchange.attempts === 0) recovery.recordRequest();
     this.#byAttempt.set(attempt, exchange);
-    exchange.dispatch(place, timer.now());
+    exchange.dispatch(connection, timer.now());
     const { request } = order;
     const { workspace } = order.job;
     journal.record(entryEvents.requestDispatched, { request, workspace, attempt, endpoint });
@@ -219,39 +224,39 @@
         break;
       default: {
         const exchange = this.#byAttempt.get(message.attempt);
-        if (exchange?.place?.endpoint === endpoint) exchange.receive(message);
-        else this.#discard();
+        if (exchange?.connection?.endpoint === endpoint) exchange.receive(message);
+        else this.#countDiscarded();
       }
     }
   }
 
   /** Late and crossed answers belong to attempts that are not here any more. */
-  #discard(): void {
+  #countDiscarded(): void {
     this.#options.metrics
       .counter('discarded_messages_total', 'Messages on attempts that have ended.')
       .inc();
   }
 
-  #forEachAt(endpoint: EndpointId, visit: (exchange: Exchange) => void): void {
+  #forEachOnEndpoint(endpoint: EndpointId, visit: (exchange: Exchange) => void): void {
     for (const exchange of [...this.#byAttempt.values()]) {
-      if (exchange.place?.endpoint === endpoint) visit(exchange);
+      if (exchange.connection?.endpoint === endpoint) visit(exchange);
     }
   }
 
-  #recover(exchange: Exchange, setback: Setback): void {
+  #recover(exchange: Exchange, attemptFailure: AttemptFailure): void {
     const { recovery, timer, scheduler, journal } = this.#options;
     const { request } = exchange.order;
     this.#byAttempt.delete(exchange.attempt);
     const outcome = exchange.lifecycle.state === 'deferred' ? 'refused' : 'failed';
     scheduler.ended({ request, outcome, answerTokens: exchange.tokens }, timer.now());
-    const remedy = recovery.decide(exchange, setback, timer.now());
-    if (remedy.type === 'fail') {
-      this.#fail(exchange, remedy.failure, timer.now());
+    const decision = recovery.decide(exchange, attemptFailure, timer.now());
+    if (decision.type === 'fail') {
+      this.#fail(exchange, decision.failure, timer.now());
       return;
     }
-    const code = setback.failure.code.number;
+    const code = attemptFailure.failure.code.number;
     journal.record(entryEvents.requestRetried, { request, attempt: exchange.attempt, code });
-    timer.after(remedy.delayMs, () => this.#retry(exchange, remedy.isSuspect));
+    timer.after(decision.delayMs, () => this.#retry(exchange, decision.isSuspect));
     this.decide();
   }
 
@@ -262,16 +267,16 @@
   #fail(exchange: Exchange, failure: Failure, since: number): void {
     const { admission, timer } = this.#options;
     const waited = timer.now() - since;
-    const isTold = waited >= SUSPICION_LIMIT_MS || admission.isSuspected(exchange.order);
+    const isPropagated = waited >= SUSPICION_TIMEOUT_MS || admission.isSuspected(exchange.order);
     if (exchange.crashes === 0) exchange.fail(failure);
-    else if (isTold)
+    else if (isPropagated)
       timer.after(FRESHNESS_MS * (1 + CLOCK_RATE_BOUND), () => exchange.fail(failure));
-    else timer.after(SUSPICION_POLL_MS, () => this.#fail(exchange, failure, since));
+    else timer.after(SUSPICION_POLL_INTERVAL_MS, () => this.#fail(exchange, failure, since));
   }
 
   #retry(exchange: Exchange, isSuspect: boolean): void {
     if (exchange.hasEnded) return;
-    const { place } = exchange;
+    const { connection } = exchange;
     const admitted = this.#options.admission.admit(exchange.order);
     if (admitted.isErr()) {
       this.#fail(exchange, admitted.error, this.#options.timer.now());
@@ -279,13 +284,14 @@
     }
     const order = admitted.value;
     const { job } = order;
-    const failed = place && !job.avoid.includes(place.endpoint) ? [place.endpoint] : [];
+    const failed =
+      connection && !job.avoid.includes(connection.endpoint) ? [connection.endpoint] : [];
     const avoid = [...job.avoid, ...failed];
-    const open = suitable(job, this.#options.endpoints.candidates);
-    const isAnyLeft = open.some((endpoint) => !avoid.includes(endpoint));
+    const open = suitableEndpoints(job, this.#options.endpoints.candidates);
+    const hasAlternative = open.some((endpoint) => !avoid.includes(endpoint));
     exchange.retry({
       ...order,
-      job: { ...job, isSuspect: isSuspect || job.isSuspect, avoid: isAnyLeft ? avoid : [] },
+      job: { ...job, isSuspect: isSuspect || job.isSuspect, avoid: hasAlternative ? avoid : [] },
     });
     this.#offer(exchange);
   }
@@ -294,11 +300,11 @@
     if (exchange.hasEnded) return;
     const { request } = exchange.order;
     this.#options.journal.record(entryEvents.callerGone, { request });
-    const isUnused = exchange.hasClaim && exchange.notRun === true;
-    if (isUnused) this.#options.claims.settleNotRun(exchange);
+    const isClaimUnused = exchange.hasClaim && exchange.notRun === true;
+    if (isClaimUnused) this.#options.claims.settleNotRun(exchange);
     exchange.abandon();
     this.#options.scheduler.withdraw(request, this.#options.timer.now());
-    this.#forget(exchange, 'cancelled');
+    this.#remove(exchange, 'cancelled');
   }
 
   #end(exchange: Exchange, outcome: 'completed' | 'failed', failure?: Failure): void {
@@ -313,10 +319,10 @@
       .inc({ class: job.class, outcome: failure?.code.name ?? 'completed' });
     if (failure && exchange.hasClaim) claims.settleFailure(exchange, failure);
     scheduler.withdraw(request, timer.now());
-    this.#forget(exchange, outcome);
+    this.#remove(exchange, outcome);
   }
 
-  #forget(exchange: Exchange, outcome: Outcome): void {
+  #remove(exchange: Exchange, outcome: Outcome): void {
     const { scheduler, timer } = this.#options;
     const { request } = exchange.order;
     exchange.timeout?.[Symbol.dispose]();
--- a/packages/entry/src/lib/EndpointTable.ts
+++ b/packages/entry/src/lib/EndpointTable.ts
@@ -9,7 +9,7 @@
   type Member,
   type SidecarMessage,
 } from '@berylwood/schema';
-import type { Place } from './Exchange';
+import type { EndpointConnection } from './Exchange';
 
 /** A link to a sidecar. @internal */
 export type SidecarLink = Link<EntryMessage, SidecarMessage>;
@@ -34,7 +34,7 @@
 }
 
 /** Time that an endpoint missing from the list keeps its row without a link, in milliseconds. */
-const UNLISTED_KEEP_MS = 10_000;
+const UNLISTED_RETENTION_MS = 10_000;
 
 /**
  * The endpoints an entry knows, each with a kept link to its sidecar. The list lags, so a row whose
@@ -48,7 +48,7 @@
   onChange: () => void = () => {};
 
   /** Called when a sidecar has told its incarnation over a new link. */
-  onPlace: (place: Place) => void = () => {};
+  onConnected: (connection: EndpointConnection) => void = () => {};
 
   onLinkLost: (endpoint: EndpointId, link: SidecarLink) => void = () => {};
 
@@ -73,7 +73,7 @@
   }
 
   /** Where an attempt may be sent; undefined while the endpoint takes none. */
-  placeOf(endpoint: EndpointId): Place | undefined {
+  connectionTo(endpoint: EndpointId): EndpointConnection | undefined {
     const row = this.#rows.get(endpoint);
     const { link } = row?.dialer ?? {};
     if (!row?.incarnation || !link || !isOpen(row)) return undefined;
@@ -94,7 +94,7 @@
       row.isListed = members.has(endpoint);
       if (!row.isListed && !row.dialer.link) this.#removeLater(endpoint);
     }
-    for (const member of members.values()) this.#set(member);
+    for (const member of members.values()) this.#addOrUpdate(member);
     this.onChange();
   }
 
@@ -105,7 +105,7 @@
 
   #removeLater(endpoint: EndpointId): void {
     const row = this.#rows.get(endpoint);
-    this.#options.timer.after(UNLISTED_KEEP_MS, () => {
+    this.#options.timer.after(UNLISTED_RETENTION_MS, () => {
       if (!row || row.isListed || row.dialer.link || this.#rows.get(endpoint) !== row) return;
       row.dialer[Symbol.dispose]();
       this.#rows.delete(endpoint);
@@ -113,12 +113,12 @@
     });
   }
 
-  #set(member: Member): void {
+  #addOrUpdate(member: Member): void {
     const row = this.#rows.get(member.endpoint);
     if (row?.member.address === member.address) {
-      const isNewer = row.member.incarnation !== member.incarnation;
+      const isNewIncarnation = row.member.incarnation !== member.incarnation;
       row.member = member;
-      row.isLeaving ||= member.state === 'leaving' && !isNewer;
+      row.isLeaving ||= member.state === 'leaving' && !isNewIncarnation;
       return;
     }
     row?.dialer[Symbol.dispose]();
@@ -143,13 +143,13 @@
     });
     dialer.onLink = (link) => {
       link.onMessage = (message) => this.#receive(endpoint, link, message);
-      link.onClose = () => this.#closed(endpoint, link);
+      link.onClose = () => this.#linkClosed(endpoint, link);
     };
     dialer.open();
     return dialer;
   }
 
-  #closed(endpoint: EndpointId, link: SidecarLink): void {
+  #linkClosed(endpoint: EndpointId, link: SidecarLink): void {
     const row = this.#rows.get(endpoint);
     if (row) row.incarnation = undefined;
     this.onLinkLost(endpoint, link);
@@ -164,14 +164,18 @@
       row.isSuspect = false;
       this.onChange();
     }
-    if (message.type === 'hello') this.#greeted(row, link, message);
+    if (message.type === 'hello') this.#helloReceived(row, link, message);
     else {
-      if (message.type === 'load') this.#loaded(row, message);
+      if (message.type === 'load') this.#loadReceived(row, message);
       this.onMessage(endpoint, message);
     }
   }
 
-  #greeted(row: Row, link: SidecarLink, hello: Extract<SidecarMessage, { type: 'hello' }>): void {
+  #helloReceived(
+    row: Row,
+    link: SidecarLink,
+    hello: Extract<SidecarMessage, { type: 'hello' }>,
+  ): void {
     const { endpoint } = row.member;
     // Another endpoint may have taken over the address.
     if (hello.endpoint !== endpoint) {
@@ -180,11 +184,11 @@
     }
     row.incarnation = hello.incarnation;
     row.isLeaving = false;
-    this.onPlace({ endpoint, incarnation: hello.incarnation, link });
+    this.onConnected({ endpoint, incarnation: hello.incarnation, link });
     this.onChange();
   }
 
-  #loaded(row: Row, { load }: Extract<SidecarMessage, { type: 'load' }>): void {
+  #loadReceived(row: Row, { load }: Extract<SidecarMessage, { type: 'load' }>): void {
     const isDown = load.down ?? false;
     const isLeaving = load.leaving || row.isLeaving;
     if (isLeaving === row.isLeaving && isDown === row.isDown) return;
--- a/packages/entry/src/lib/Entry.ts
+++ b/packages/entry/src/lib/Entry.ts
@@ -49,10 +49,10 @@
   readonly certificate?: CertificateFiles;
 }
 
-const DRAIN_POLL_MS = 20;
+const DRAIN_POLL_INTERVAL_MS = 20;
 
 /** Time without freshness after which waiting requests are refused, in milliseconds. */
-const STALE_LIMIT_MS = 3000;
+const MAX_STALE_HOLD_MS = 3000;
 
 /** Authenticates callers, schedules their requests and relays the answers. @public */
 export class Entry extends Task {
@@ -78,7 +78,7 @@
 
   #isDraining = false;
 
-  #staleness: Disposable | undefined;
+  #staleTimer: Disposable | undefined;
 
   constructor(options: EntryOptions) {
     super();
@@ -141,7 +141,7 @@
     process.once('exit', onExit);
     await timer.sleep(settings.balancerNoticeMs);
     const closed = this.#server.close();
-    while (this.#dispatcher.openCount > 0) await timer.sleep(DRAIN_POLL_MS);
+    while (this.#dispatcher.openCount > 0) await timer.sleep(DRAIN_POLL_INTERVAL_MS);
     await closed;
     process.off('exit', onExit);
     await super.stop();
@@ -157,21 +157,21 @@
     this.#limiter.configure(state.configuration);
     this.#dispatcher.withdrawKeys((key) => state.hasKey(key));
     const { quarantined } = requestCodes;
-    this.#dispatcher.refuseWaiting(new Failure(quarantined, quarantined.meaning), ({ order }) =>
+    this.#dispatcher.rejectWaiting(new Failure(quarantined, quarantined.meaning), ({ order }) =>
       this.#admission.admit(order).isErr(),
     );
   }
 
   /** A short loss of freshness holds requests back; a longer one refuses them. */
   #applyFreshness(isFresh: boolean): void {
-    this.#staleness?.[Symbol.dispose]();
+    this.#staleTimer?.[Symbol.dispose]();
     if (isFresh) {
       this.#dispatcher.decide();
       return;
     }
     const { notFresh } = requestCodes;
-    this.#staleness = this.#options.timer.after(STALE_LIMIT_MS, () => {
-      this.#dispatcher.refuseWaiting(new Failure(notFresh, notFresh.meaning), () => true);
+    this.#staleTimer = this.#options.timer.after(MAX_STALE_HOLD_MS, () => {
+      this.#dispatcher.rejectWaiting(new Failure(notFresh, notFresh.meaning), () => true);
     });
   }
 
@@ -185,7 +185,7 @@
       authenticate(state, request.headers.authorization),
     );
     if (identity.isErr()) {
-      sendFailure(response, this.#limited(request, identity.error));
+      sendFailure(response, this.#limitKeyFailures(request, identity.error));
       return;
     }
     const path = (request.url ?? '/').split('?')[0] ?? '/';
@@ -227,13 +227,13 @@
     );
     const admitted = order
       .andThen((item) => this.#admission.admit(item))
-      .andThen((item) => this.#limit(item, response));
+      .andThen((item) => this.#applyPlanLimits(item, response));
     if (admitted.isErr()) sendFailure(response, admitted.error);
     else if (!response.destroyed) this.#dispatcher.submit(new Exchange(admitted.value, response));
   }
 
   /** Holds a workspace to its plan's limits, by this entry's own count. */
-  #limit(order: Order, response: ServerResponse): Result<Order, Failure> {
+  #applyPlanLimits(order: Order, response: ServerResponse): Result<Order, Failure> {
     const { timer } = this.#options;
     const { workspace, promptTokens, answerTokens } = order.job;
     if (response.destroyed) return ok(order);
@@ -245,10 +245,10 @@
   }
 
   /** Refused keys from one address in quick succession get another answer. */
-  #limited(request: IncomingMessage, failure: Failure): Failure {
+  #limitKeyFailures(request: IncomingMessage, failure: Failure): Failure {
     const { keyRefused, tooManyFailures } = requestCodes;
     if (failure.code !== keyRefused) return failure;
-    if (this.#failures.count(request.socket.remoteAddress ?? '')) return failure;
+    if (this.#failures.recordFailure(request.socket.remoteAddress ?? '')) return failure;
     return new Failure(tooManyFailures, tooManyFailures.meaning, { retryAfterMs: 1000 });
   }
 
--- a/packages/entry/src/lib/Exchange.ts
+++ b/packages/entry/src/lib/Exchange.ts
@@ -8,7 +8,7 @@
   type IncarnationId,
   type SidecarMessage,
 } from '@berylwood/schema';
-import { AnswerWriter } from './AnswerWriter';
+import { ResponseWriter } from './ResponseWriter';
 import type { Order } from './classify';
 import type { SidecarLink } from './EndpointTable';
 import { exchangeTable, type ExchangeEvent, type ExchangeNote } from './exchangeMachine';
@@ -16,21 +16,21 @@
 export type AttemptMessage = Exclude<SidecarMessage, { type: 'hello' | 'load' | 'cache' }>;
 
 /** Where an attempt runs. @internal */
-export interface Place {
+export interface EndpointConnection {
   readonly endpoint: EndpointId;
   readonly incarnation: IncarnationId;
   readonly link: SidecarLink;
 }
 
 /** What is known when an attempt has ended without an answer. @internal */
-export interface Setback {
+export interface AttemptFailure {
   readonly failure: Failure;
   /** The endpoint crashed meanwhile. */
   readonly crashed: boolean;
 }
 
 /** Joins what is known of two attempts: one that ran outweighs one that did not. */
-function join(a: NotRun, b: NotRun): NotRun {
+function combineNotRun(a: NotRun, b: NotRun): NotRun {
   if (a === false || b === false) return false;
   return a === 'unknown' || b === 'unknown' ? 'unknown' : true;
 }
@@ -38,7 +38,7 @@
 /** A request of a caller and its present attempt. @internal */
 export class Exchange {
   /** Called when the attempt has ended and the request has not: retry, or fail. */
-  onSetback: (setback: Setback) => void = () => {};
+  onAttemptFailed: (setback: AttemptFailure) => void = () => {};
 
   /** Called once when the exchange has ended in whatever way. */
   onEnd: (outcome: 'completed' | 'failed', failure?: Failure) => void = () => {};
@@ -54,11 +54,11 @@
 
   readonly lifecycle = new Lifecycle<ExchangeEvent, ExchangeNote>(exchangeTable);
 
-  readonly writer: AnswerWriter;
+  readonly writer: ResponseWriter;
 
   attempt: AttemptId = createAttemptId();
 
-  place: Place | undefined;
+  connection: EndpointConnection | undefined;
 
   /** A claim for the attempt is committed, or may be. */
   hasClaim = false;
@@ -75,14 +75,14 @@
   timeout: Disposable | undefined;
 
   /** What is known of the attempts before this one. */
-  #past: NotRun = true;
+  #earlierNotRun: NotRun = true;
 
   constructor(order: Order, response: ServerResponse) {
     this.order = order;
     this.response = response;
-    this.writer = new AnswerWriter(response);
-    this.writer.onTaken = (offset) => {
-      this.place?.link.send({ type: 'ack', attempt: this.attempt, offset });
+    this.writer = new ResponseWriter(response);
+    this.writer.onConsumed = (offset) => {
+      this.connection?.link.send({ type: 'ack', attempt: this.attempt, offset });
     };
   }
 
@@ -92,26 +92,26 @@
 
   /** What the caller may be told now of the execution of its request. */
   get notRun(): NotRun {
-    return join(this.#past, this.lifecycle.note.notRun);
+    return combineNotRun(this.#earlierNotRun, this.lifecycle.note.notRun);
   }
 
   /** Moves to the next state; false when the present one does not take the event. */
   send(event: ExchangeEvent): boolean {
     const { note } = this.lifecycle;
     if (!this.lifecycle.send(event)) return false;
-    if (event === 'retry') this.#past = join(this.#past, note.notRun);
+    if (event === 'retry') this.#earlierNotRun = combineNotRun(this.#earlierNotRun, note.notRun);
     this.onState();
     return true;
   }
 
   /** Starts an attempt over a link. */
-  dispatch(place: Place, now: number): void {
+  dispatch(connection: EndpointConnection, now: number): void {
     const { order } = this;
     const { job } = order;
-    this.place = place;
+    this.connection = connection;
     this.attempts += 1;
     if (!this.send('dispatch')) return;
-    place.link.send(
+    connection.link.send(
       {
         type: 'dispatch',
         attempt: this.attempt,
@@ -119,7 +119,7 @@
         workspace: job.workspace,
         class: job.class,
         tier: job.tier,
-        incarnation: place.incarnation,
+        incarnation: connection.incarnation,
         idempotent: order.idempotent,
         deadlineMs: Math.max(0, job.expiresAt - now),
         estimatedTokens: job.promptTokens + job.answerTokens,
@@ -139,7 +139,7 @@
 
   /** A granted attempt that could not be sent may go elsewhere. */
   defer(failure: Failure): void {
-    if (this.send('refused')) this.onSetback({ failure, crashed: false });
+    if (this.send('refused')) this.onAttemptFailed({ failure, crashed: false });
   }
 
   /** Answers with the stored outcome of an earlier request. */
@@ -152,32 +152,32 @@
   }
 
   /** Says from now on that an earlier attempt may have run. */
-  forgetProof(): void {
-    this.#past = join(this.#past, 'unknown');
+  markPossiblyRun(): void {
+    this.#earlierNotRun = combineNotRun(this.#earlierNotRun, 'unknown');
   }
 
   /** The link of the attempt is gone. */
   detach(link: SidecarLink): void {
-    if (this.place?.link === link) this.send('linkLost');
+    if (this.connection?.link === link) this.send('linkLost');
   }
 
   /** A new link to the endpoint is open; another incarnation does not know the attempt. */
-  attach(place: Place): void {
-    if (!this.place || this.place.endpoint !== place.endpoint) return;
+  attach(connection: EndpointConnection): void {
+    if (!this.connection || this.connection.endpoint !== connection.endpoint) return;
     const { state } = this.lifecycle;
-    if (place.incarnation !== this.place.incarnation) {
-      if (this.send('sidecarGone')) this.#setBack(requestCodes.outcomeUnknown.meaning);
+    if (connection.incarnation !== this.connection.incarnation) {
+      if (this.send('sidecarGone')) this.#failAttempt(requestCodes.outcomeUnknown.meaning);
       return;
     }
     if (!this.send('linkOpened')) return;
-    this.place = place;
-    if (state === 'detached') place.link.send({ type: 'revoke', attempt: this.attempt }, true);
-    else this.#askForRest();
+    this.connection = connection;
+    if (state === 'detached') connection.link.send({ type: 'revoke', attempt: this.attempt }, true);
+    else this.#requestResume();
   }
 
   /** No news within the time of the present state. */
   expire(): void {
-    if (this.send('expire')) this.#setBack('the sidecar did not answer in time');
+    if (this.send('expire')) this.#failAttempt('the sidecar did not answer in time');
   }
 
   /** Takes a message on the present attempt. */
@@ -188,7 +188,7 @@
         break;
       case 'refused':
       case 'failed':
-        this.#setBackBy(message);
+        this.#attemptFailed(message);
         break;
       case 'revoked':
         this.#revoked(message.outcome);
@@ -209,11 +209,11 @@
 
   /** Makes the request ready to be scheduled again, as another attempt when this one has run. */
   retry(order: Order): void {
-    const isSpent = this.lifecycle.state !== 'deferred';
+    const mayHaveRun = this.lifecycle.state !== 'deferred';
     this.order = order;
-    this.place = undefined;
+    this.connection = undefined;
     // A claim allows one attempt in all, so it goes elsewhere under the same id when it never ran.
-    if (isSpent || !this.hasClaim) this.attempt = createAttemptId();
+    if (mayHaveRun || !this.hasClaim) this.attempt = createAttemptId();
     this.send('retry');
   }
 
@@ -222,12 +222,12 @@
     if (this.hasEnded) return;
     const { code, message, retryAfterMs } = failure;
     // A claim of another request with the same key may have run.
-    const notRun = code.notRun === true ? this.notRun : join(this.notRun, code.notRun);
-    const told = new Failure(code, message, { retryAfterMs, notRun });
+    const notRun = code.notRun === true ? this.notRun : combineNotRun(this.notRun, code.notRun);
+    const callerFailure = new Failure(code, message, { retryAfterMs, notRun });
     this.#endAttempt();
     this.send('fail');
-    this.writer.fail(told);
-    this.onEnd('failed', told);
+    this.writer.fail(callerFailure);
+    this.onEnd('failed', callerFailure);
   }
 
   /** The caller is gone: the attempt is cancelled. */
@@ -252,40 +252,40 @@
 
   #revoked(outcome: 'never' | 'running' | 'ran' | 'unknown'): void {
     if (outcome === 'never') {
-      if (this.send('never')) this.#setBack('the attempt was revoked before it ran');
+      if (this.send('never')) this.#failAttempt('the attempt was revoked before it ran');
     } else if (outcome === 'unknown') {
-      if (this.send('lost')) this.#setBack(requestCodes.outcomeUnknown.meaning);
-    } else if (this.send('resumed')) this.#askForRest();
+      if (this.send('lost')) this.#failAttempt(requestCodes.outcomeUnknown.meaning);
+    } else if (this.send('resumed')) this.#requestResume();
   }
 
-  #askForRest(): void {
+  #requestResume(): void {
     const offset = this.writer.received;
-    this.place?.link.send({ type: 'resume', attempt: this.attempt, offset }, true);
+    this.connection?.link.send({ type: 'resume', attempt: this.attempt, offset }, true);
   }
 
-  #setBackBy(message: Extract<SidecarMessage, { type: 'refused' | 'failed' }>): void {
+  #attemptFailed(message: Extract<SidecarMessage, { type: 'refused' | 'failed' }>): void {
     const { notRun = true, crashed = false } = message.type === 'failed' ? message : {};
     const events = { true: 'refused', unknown: 'lost', false: 'broken' } as const;
     // An answer that has begun has run, whatever the sidecar knows of it now.
-    const isKnown = this.send(events[`${notRun}`]) || this.send('broken');
-    if (!isKnown) return;
+    const isAccepted = this.send(events[`${notRun}`]) || this.send('broken');
+    if (!isAccepted) return;
     this.#release();
     const code = findCode(message.code) ?? requestCodes.endpointFailed;
-    this.onSetback({ failure: new Failure(code, message.message), crashed });
+    this.onAttemptFailed({ failure: new Failure(code, message.message), crashed });
   }
 
-  #setBack(message: string): void {
+  #failAttempt(message: string): void {
     const { state } = this.lifecycle;
     const code = state === 'deferred' ? requestCodes.attemptRefused : requestCodes.outcomeUnknown;
-    this.onSetback({ failure: new Failure(code, message), crashed: false });
+    this.onAttemptFailed({ failure: new Failure(code, message), crashed: false });
   }
 
   /** Work that nobody waits for is cancelled; the sidecar lets calls go on that may not be repeated. */
   #endAttempt(): void {
-    if (this.place) this.place.link.send({ type: 'cancel', attempt: this.attempt }, true);
+    if (this.connection) this.connection.link.send({ type: 'cancel', attempt: this.attempt }, true);
   }
 
   #release(): void {
-    this.place?.link.send({ type: 'release', attempt: this.attempt });
+    this.connection?.link.send({ type: 'release', attempt: this.attempt });
   }
 }
--- a/packages/entry/src/lib/FailureLimiter.ts
+++ b/packages/entry/src/lib/FailureLimiter.ts
@@ -1,13 +1,13 @@
 import type { Timer } from '@berylwood/base';
 
 /** Refused keys that one address may send at once. */
-const BURST = 20;
+const FAILURE_BURST = 20;
 
 /** Further refused keys a second. */
-const RATE = 1;
+const FAILURES_PER_S = 1;
 
 /** Addresses remembered; the oldest is forgotten first. */
-const CAPACITY = 10_000;
+const MAX_ADDRESSES = 10_000;
 
 const MS_PER_S = 1000;
 
@@ -31,16 +31,16 @@
   }
 
   /** Counts a refused key; false when the address is over its limit. */
-  count(address: string): boolean {
+  recordFailure(address: string): boolean {
     const now = this.#timer.now();
-    const bucket = this.#buckets.get(address) ?? { tokens: BURST, at: now };
-    const refill = ((now - bucket.at) / MS_PER_S) * RATE;
-    bucket.tokens = Math.min(BURST, bucket.tokens + refill);
+    const bucket = this.#buckets.get(address) ?? { tokens: FAILURE_BURST, at: now };
+    const refill = ((now - bucket.at) / MS_PER_S) * FAILURES_PER_S;
+    bucket.tokens = Math.min(FAILURE_BURST, bucket.tokens + refill);
     bucket.at = now;
     this.#buckets.delete(address);
     this.#buckets.set(address, bucket);
     const [oldest] = this.#buckets.keys();
-    if (this.#buckets.size > CAPACITY && oldest) this.#buckets.delete(oldest);
+    if (this.#buckets.size > MAX_ADDRESSES && oldest) this.#buckets.delete(oldest);
     if (bucket.tokens < 1) return false;
     bucket.tokens -= 1;
     return true;
--- a/packages/entry/src/lib/Recovery.test.ts
+++ b/packages/entry/src/lib/Recovery.test.ts
@@ -8,7 +8,10 @@
 import type { ExchangeEvent } from './exchangeMachine';
 import { Recovery } from './Recovery';
 
-const SETBACK = { failure: new Failure(requestCodes.endpointFailed, 'broken'), crashed: false };
+const ATTEMPT_FAILURE = {
+  failure: new Failure(requestCodes.endpointFailed, 'broken'),
+  crashed: false,
+};
 
 function createExchange(idempotent: boolean, ...events: ExchangeEvent[]): Exchange {
   const order = { idempotent, job: { expiresAt: 10_000, isSuspect: false } } as unknown as Order;
@@ -21,7 +24,7 @@
 test('only what may be repeated, or is proved not to have run, goes on', () => {
   const recovery = new Recovery(new Random(1));
   const typeOf = (idempotent: boolean, ...events: ExchangeEvent[]): string =>
-    recovery.decide(createExchange(idempotent, ...events), SETBACK, 0).type;
+    recovery.decide(createExchange(idempotent, ...events), ATTEMPT_FAILURE, 0).type;
   assert.equal(typeOf(true, 'dispatch', 'broken'), 'retry');
   assert.equal(typeOf(true, 'dispatch', 'lost'), 'retry');
   assert.equal(typeOf(false, 'dispatch', 'broken'), 'fail');
@@ -31,10 +34,10 @@
 
 test('nothing goes on after its time, and retries end with their budget', () => {
   const recovery = new Recovery(new Random(1));
-  const late = recovery.decide(createExchange(true, 'dispatch', 'broken'), SETBACK, 10_000);
+  const late = recovery.decide(createExchange(true, 'dispatch', 'broken'), ATTEMPT_FAILURE, 10_000);
   assert.equal(late.type, 'fail');
   const remedies = Array.from({ length: 60 }, () =>
-    recovery.decide(createExchange(true, 'dispatch', 'broken'), SETBACK, 0),
+    recovery.decide(createExchange(true, 'dispatch', 'broken'), ATTEMPT_FAILURE, 0),
   );
   assert.equal(remedies.filter(({ type }) => type === 'retry').length, 50);
 });
--- a/packages/entry/src/lib/AnswerWriter.ts
+++ b/packages/entry/src/lib/ResponseWriter.ts
@@ -9,9 +9,9 @@
 const EVENT_END = Buffer.from('\n\n');
 
 /** Writes an answer to its caller: in order, without gap or repetition, at the caller's pace. @internal */
-export class AnswerWriter {
+export class ResponseWriter {
   /** Called with the offset up to which the caller has taken the answer. */
-  onTaken: (offset: number) => void = () => {};
+  onConsumed: (offset: number) => void = () => {};
 
   readonly #response: ServerResponse;
 
@@ -38,7 +38,7 @@
   }
 
   /** Whether an answer can still be begun anew. */
-  get isUntouched(): boolean {
+  get isEmpty(): boolean {
     return this.#received === 0;
   }
 
@@ -56,8 +56,8 @@
     this.#sendHead();
     this.#isActive = true;
     this.#isAtEventEnd = EVENT_END.equals(bytes.subarray(-EVENT_END.length));
-    const hasRoom = this.#response.write(rest);
-    if (!hasRoom) this.#awaitDrain();
+    const isWritable = this.#response.write(rest);
+    if (!isWritable) this.#acknowledgeOnDrain();
     else if (!this.#isDraining) this.#acknowledge(ACKNOWLEDGE_BYTES);
     return true;
   }
@@ -91,7 +91,7 @@
     this.#response.writeHead(status);
   }
 
-  #awaitDrain(): void {
+  #acknowledgeOnDrain(): void {
     if (this.#isDraining) return;
     this.#isDraining = true;
     this.#response.once('drain', () => {
@@ -100,9 +100,9 @@
     });
   }
 
-  #acknowledge(leastBytes: number): void {
-    if (this.#received - this.#acknowledged < leastBytes) return;
+  #acknowledge(minBytes: number): void {
+    if (this.#received - this.#acknowledged < minBytes) return;
     this.#acknowledged = this.#received;
-    this.onTaken(this.#received);
+    this.onConsumed(this.#received);
   }
 }
--- a/packages/entry/src/lib/checkHeaders.ts
+++ b/packages/entry/src/lib/checkHeaders.ts
@@ -4,11 +4,17 @@
 import { ok, type Result } from 'neverthrow';
 
 /** Headers whose meaning would depend on which of two copies is read. */
-const SINGLE = ['authorization', 'content-type', 'host', 'idempotency-key', 'x-request-class'];
+const SINGLE_VALUE_HEADERS = [
+  'authorization',
+  'content-type',
+  'host',
+  'idempotency-key',
+  'x-request-class',
+];
 
 /** Refuses requests whose headers two readers could understand differently. @internal */
 export function checkHeaders(request: IncomingMessage): Result<void, Failure> {
-  for (const name of SINGLE) {
+  for (const name of SINGLE_VALUE_HEADERS) {
     if ((request.headersDistinct[name]?.length ?? 0) > 1) {
       return fail(requestCodes.malformedRequest, `the header ${name} appears more than once`);
     }
--- a/packages/entry/src/lib/classify.ts
+++ b/packages/entry/src/lib/classify.ts
@@ -42,7 +42,7 @@
 /** Header that names a request which may not be repeated, over resends. */
 const IDEMPOTENCY_HEADER = 'idempotency-key';
 
-const MAX_IDEMPOTENCY_KEY = 255;
+const MAX_IDEMPOTENCY_KEY_LENGTH = 255;
 
 const BYTES_PER_TOKEN = 4;
 
@@ -60,8 +60,8 @@
   const parsed = completionSchema.safeParse(value);
   if (parsed.success) return ok(parsed.data);
   const [issue] = parsed.error.issues;
-  const place = issue?.path.join('.') || 'body';
-  return fail(requestCodes.malformedRequest, `${place}: ${issue?.message}`);
+  const issuePath = issue?.path.join('.') || 'body';
+  return fail(requestCodes.malformedRequest, `${issuePath}: ${issue?.message}`);
 }
 
 function planOf(configuration: Configuration, workspace: WorkspaceId): Plan | undefined {
@@ -102,7 +102,7 @@
   });
 }
 
-interface JobFacts {
+interface JobParameters {
   readonly workspace: WorkspaceId;
   readonly className: string;
   readonly tier: number;
@@ -110,8 +110,8 @@
   readonly requestClass: RequestClass;
 }
 
-function createJob(facts: JobFacts, target: Target, body: Buffer, now: number): Job {
-  const { workspace, className, tier, share, requestClass } = facts;
+function createJob(parameters: JobParameters, target: Target, body: Buffer, now: number): Job {
+  const { workspace, className, tier, share, requestClass } = parameters;
   return {
     request: createRequestId(),
     workspace,
@@ -156,17 +156,17 @@
     return fail(requestCodes.notInPlan, `class "${className}" is not in the plan`);
   }
   const { workspace } = record;
-  const facts = { workspace, className, tier, share: plan.share, requestClass };
+  const parameters = { workspace, className, tier, share: plan.share, requestClass };
   const idempotencyKey = headers[IDEMPOTENCY_HEADER]?.toString();
   return findTarget(plan, route, body).andThen((target): Result<Order, Failure> => {
     if (!target.idempotent && !idempotencyKey) {
       return fail(requestCodes.idempotencyKeyMissing, requestCodes.idempotencyKeyMissing.meaning);
     }
-    if (idempotencyKey && idempotencyKey.length > MAX_IDEMPOTENCY_KEY) {
-      const message = `the Idempotency-Key is longer than ${MAX_IDEMPOTENCY_KEY} characters`;
+    if (idempotencyKey && idempotencyKey.length > MAX_IDEMPOTENCY_KEY_LENGTH) {
+      const message = `the Idempotency-Key is longer than ${MAX_IDEMPOTENCY_KEY_LENGTH} characters`;
       return fail(requestCodes.malformedRequest, message);
     }
-    const job = createJob(facts, target, body, now);
+    const job = createJob(parameters, target, body, now);
     const fingerprint = createHash('sha256')
       .update(`${record.workspace} ${method} ${url} `)
       .update(body)
--- a/packages/entry/src/lib/completionSchema.ts
+++ b/packages/entry/src/lib/completionSchema.ts
@@ -1,6 +1,6 @@
 import { z } from 'zod';
 
-const MAX_NAME = 128;
+const MAX_NAME_LENGTH = 128;
 
 const messageSchema = z.looseObject({
   role: z.string(),
@@ -9,7 +9,7 @@
 
 /** What the entry reads of a completion request; other fields pass to the engine. @internal */
 export const completionSchema = z.looseObject({
-  model: z.string().min(1).max(MAX_NAME),
+  model: z.string().min(1).max(MAX_NAME_LENGTH),
   stream: z.boolean().optional(),
   max_tokens: z.number().int().positive().optional(),
   messages: z.array(messageSchema).min(1).optional(),
--- a/packages/entry/src/lib/digestBlocks.ts
+++ b/packages/entry/src/lib/digestBlocks.ts
@@ -14,11 +14,11 @@
  */
 export function digestBlocks(workspace: WorkspaceId, prompt: string): string[] {
   const count = Math.min(MAX_BLOCKS, Math.floor(prompt.length / BLOCK_CHARACTERS));
-  let last: string = workspace;
+  let previous: string = workspace;
   return Array.from({ length: count }, (_, index) => {
     const block = prompt.slice(index * BLOCK_CHARACTERS, (index + 1) * BLOCK_CHARACTERS);
-    const digest = createHash('sha256').update(`${last} `).update(block).digest('base64');
-    last = digest.slice(0, DIGEST_CHARACTERS);
-    return last;
+    const digest = createHash('sha256').update(`${previous} `).update(block).digest('base64');
+    previous = digest.slice(0, DIGEST_CHARACTERS);
+    return previous;
   });
 }
--- a/packages/entry/src/lib/endpointHeaders.ts
+++ b/packages/entry/src/lib/endpointHeaders.ts
@@ -1,7 +1,13 @@
 import type { IncomingHttpHeaders } from 'node:http';
 
 /** Headers of a request that an endpoint may see. */
-const ALLOWED = ['accept', 'accept-language', 'content-type', 'content-language', 'user-agent'];
+const ALLOWED_HEADERS = [
+  'accept',
+  'accept-language',
+  'content-type',
+  'content-language',
+  'user-agent',
+];
 
 /** Whether a text holds the secret, plainly or percent-encoded. @internal */
 export function holdsSecret(text: string, secret: string): boolean {
@@ -31,10 +37,10 @@
   headers: IncomingHttpHeaders,
   secret: string,
 ): Record<string, string> {
-  const kept: Record<string, string> = {};
-  for (const name of ALLOWED) {
+  const allowed: Record<string, string> = {};
+  for (const name of ALLOWED_HEADERS) {
     const value = headers[name];
-    if (typeof value === 'string' && !holdsSecret(value, secret)) kept[name] = value;
+    if (typeof value === 'string' && !holdsSecret(value, secret)) allowed[name] = value;
   }
-  return kept;
+  return allowed;
 }
--- a/packages/entry/src/lib/exchangeMachine.test.ts
+++ b/packages/entry/src/lib/exchangeMachine.test.ts
@@ -4,11 +4,11 @@
 import { exchangeTable } from './exchangeMachine';
 
 /** States in which nothing was handed to a sidecar, or its sidecar has proved that it never ran. */
-const PROVED = ['waiting', 'claiming', 'deferred'];
+const NOT_RUN_STATES = ['waiting', 'claiming', 'deferred'];
 
 test('"not run" is said only from states where it is proved', () => {
-  const said = exchangeTable.states.filter(({ note }) => note.notRun === true);
-  assert.deepEqual(said.map(({ name }) => name).sort(), [...PROVED].sort());
+  const notRunStates = exchangeTable.states.filter(({ note }) => note.notRun === true);
+  assert.deepEqual(notRunStates.map(({ name }) => name).sort(), [...NOT_RUN_STATES].sort());
 });
 
 test('no state after an attempt has run leads back to a proof without a retry', () => {
--- a/packages/entry/src/lib/exchangeMachine.ts
+++ b/packages/entry/src/lib/exchangeMachine.ts
@@ -35,15 +35,20 @@
 const unknown: ExchangeNote = { notRun: 'unknown' };
 
 /** Time for a new link before a request that has sent nothing to its caller goes elsewhere. */
-const DETACHED_LIMIT_MS = 4000;
+const DETACHED_TIMEOUT_MS = 4000;
 
 /** Time for a new link in the middle of an answer, which can go on nowhere else. */
-const STREAM_DETACHED_LIMIT_MS = 12_000;
+const STREAM_DETACHED_TIMEOUT_MS = 12_000;
 
-const REVOKE_LIMIT_MS = 2000;
+const REVOKE_TIMEOUT_MS = 2000;
 
-const ending = { fail: 'failed', cancel: 'cancelled' } as const;
-const word = { head: 'streaming', refused: 'deferred', broken: 'broken', lost: 'lost' } as const;
+const endTransitions = { fail: 'failed', cancel: 'cancelled' } as const;
+const sidecarTransitions = {
+  head: 'streaming',
+  refused: 'deferred',
+  broken: 'broken',
+  lost: 'lost',
+} as const;
 
 /** The life of a request in the entry. @internal */
 const exchangeMachine = createMachine({
@@ -52,43 +57,46 @@
   states: {
     waiting: {
       meta: notRun,
-      on: { claim: 'claiming', dispatch: 'dispatched', refused: 'deferred', ...ending },
+      on: { claim: 'claiming', dispatch: 'dispatched', refused: 'deferred', ...endTransitions },
     },
     claiming: {
       meta: notRun,
-      on: { dispatch: 'dispatched', replay: 'completed', refused: 'deferred', ...ending },
+      on: { dispatch: 'dispatched', replay: 'completed', refused: 'deferred', ...endTransitions },
     },
     dispatched: {
       meta: unknown,
-      on: { accepted: 'accepted', linkLost: 'detached', ...word, ...ending },
+      on: { accepted: 'accepted', linkLost: 'detached', ...sidecarTransitions, ...endTransitions },
+    },
+    accepted: {
+      meta: unknown,
+      on: { linkLost: 'detached', ...sidecarTransitions, ...endTransitions },
     },
-    accepted: { meta: unknown, on: { linkLost: 'detached', ...word, ...ending } },
     detached: {
-      meta: { notRun: 'unknown', limitMs: DETACHED_LIMIT_MS },
-      on: { linkOpened: 'revoking', sidecarGone: 'lost', expire: 'lost', ...ending },
+      meta: { notRun: 'unknown', limitMs: DETACHED_TIMEOUT_MS },
+      on: { linkOpened: 'revoking', sidecarGone: 'lost', expire: 'lost', ...endTransitions },
     },
     revoking: {
-      meta: { notRun: 'unknown', limitMs: REVOKE_LIMIT_MS },
+      meta: { notRun: 'unknown', limitMs: REVOKE_TIMEOUT_MS },
       on: {
         never: 'deferred',
         resumed: 'accepted',
         linkLost: 'detached',
         expire: 'lost',
-        ...word,
-        ...ending,
+        ...sidecarTransitions,
+        ...endTransitions,
       },
     },
     streaming: {
       meta: ran,
-      on: { end: 'completed', broken: 'broken', linkLost: 'streamDetached', ...ending },
+      on: { end: 'completed', broken: 'broken', linkLost: 'streamDetached', ...endTransitions },
     },
     streamDetached: {
-      meta: { notRun: false, limitMs: STREAM_DETACHED_LIMIT_MS },
-      on: { linkOpened: 'streaming', sidecarGone: 'broken', expire: 'broken', ...ending },
+      meta: { notRun: false, limitMs: STREAM_DETACHED_TIMEOUT_MS },
+      on: { linkOpened: 'streaming', sidecarGone: 'broken', expire: 'broken', ...endTransitions },
     },
-    deferred: { meta: notRun, on: { retry: 'waiting', ...ending } },
-    lost: { meta: unknown, on: { retry: 'waiting', ...ending } },
-    broken: { meta: ran, on: { retry: 'waiting', ...ending } },
+    deferred: { meta: notRun, on: { retry: 'waiting', ...endTransitions } },
+    lost: { meta: unknown, on: { retry: 'waiting', ...endTransitions } },
+    broken: { meta: ran, on: { retry: 'waiting', ...endTransitions } },
     completed: { type: 'final', meta: ran },
     failed: { type: 'final', meta: unknown },
     cancelled: { type: 'final', meta: unknown },
--- a/packages/entry/src/lib/isTooDeep.ts
+++ b/packages/entry/src/lib/isTooDeep.ts
@@ -9,13 +9,13 @@
 /** Whether a JSON text is nested beyond the limit, found without parsing it. @internal */
 export function isTooDeep(json: Buffer): boolean {
   let depth = 0;
-  let isText = false;
+  let isInString = false;
   for (let at = 0; at < json.length; at += 1) {
     const byte = json[at] as number;
-    if (isText && byte === BACKSLASH) at += 1;
-    else if (byte === QUOTE) isText = !isText;
-    else if (!isText && OPENING.has(byte)) depth += 1;
-    else if (!isText && CLOSING.has(byte)) depth -= 1;
+    if (isInString && byte === BACKSLASH) at += 1;
+    else if (byte === QUOTE) isInString = !isInString;
+    else if (!isInString && OPENING.has(byte)) depth += 1;
+    else if (!isInString && CLOSING.has(byte)) depth -= 1;
     if (depth > MAX_DEPTH) return true;
   }
   return false;
--- a/packages/entry/src/lib/pinSuspect.ts
+++ b/packages/entry/src/lib/pinSuspect.ts
@@ -3,7 +3,7 @@
 import type { EndpointId } from '@berylwood/schema';
 
 /** Open endpoints that serve a job. @internal */
-export function suitable(job: Job, candidates: readonly Candidate[]): EndpointId[] {
+export function suitableEndpoints(job: Job, candidates: readonly Candidate[]): EndpointId[] {
   return candidates
     .filter(
       ({ kind, targets, isOpen }) => isOpen && kind === job.kind && targets.includes(job.target),
@@ -26,10 +26,10 @@
   fingerprint: string,
   candidates: readonly Candidate[],
 ): EndpointId[] {
-  const open = suitable(job, candidates);
-  const fit = open.filter((endpoint) => !job.avoid.includes(endpoint));
-  const choice = [...(fit.length > 0 ? fit : open)].sort((a, b) =>
+  const open = suitableEndpoints(job, candidates);
+  const eligible = open.filter((endpoint) => !job.avoid.includes(endpoint));
+  const ranked = [...(eligible.length > 0 ? eligible : open)].sort((a, b) =>
     weight(fingerprint, a) < weight(fingerprint, b) ? -1 : 1,
   );
-  return candidates.map(({ endpoint }) => endpoint).filter((endpoint) => endpoint !== choice[0]);
+  return candidates.map(({ endpoint }) => endpoint).filter((endpoint) => endpoint !== ranked[0]);
 }
--- a/packages/entry/src/process/claims.process.test.ts
+++ b/packages/entry/src/process/claims.process.test.ts
@@ -2,7 +2,7 @@
 import test, { type TestContext } from 'node:test';
 import { until } from '@berylwood/testing';
 import {
-  LIMIT,
+  TEST_TIMEOUT,
   countRecords,
   createDeployment,
   createService,
@@ -12,7 +12,7 @@
 
 const CALL_MS = 1500;
 
-function createOrders(t: TestContext, delayMs: number): Promise<ProcessFixture> {
+function createOrderServices(t: TestContext, delayMs: number): Promise<ProcessFixture> {
   return createDeployment(t, {
     entries: 2,
     endpoints: [createService('service-1'), createService('service-2')],
@@ -27,8 +27,8 @@
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
-test('a call with a key runs once over resends through both entries', LIMIT, async (t) => {
-  const fixture = await createOrders(t, 20);
+test('a call with a key runs once over resends through both entries', TEST_TIMEOUT, async (t) => {
+  const fixture = await createOrderServices(t, 20);
   const copies = [1, 2, 1, 2, 1, 2].map((entry) => placeOrder(fixture, 'k1', 'order 1', entry));
   const statuses = (await Promise.all(copies)).map(({ status }) => status);
   assert.ok(statuses.includes(200), String(statuses));
@@ -49,8 +49,8 @@
   assert.equal(await countCalls(fixture), 1);
 });
 
-test('a call outlives its entry, and a resend gets its stored outcome', LIMIT, async (t) => {
-  const fixture = await createOrders(t, CALL_MS);
+test('a call outlives its entry, and a resend gets its stored outcome', TEST_TIMEOUT, async (t) => {
+  const fixture = await createOrderServices(t, CALL_MS);
   const cut = placeOrder(fixture, 'k2', 'order 1', 1).catch(() => undefined);
   await until('it runs', async () => (await countCalls(fixture)) === 1);
   await fixture.deployment.process('entry-1').kill();
@@ -66,9 +66,9 @@
 
 test(
   'a call whose sidecar is killed has an unknown outcome and is not run again',
-  LIMIT,
+  TEST_TIMEOUT,
   async (t) => {
-    const fixture = await createOrders(t, CALL_MS);
+    const fixture = await createOrderServices(t, CALL_MS);
     const cut = placeOrder(fixture, 'k3', 'order 1', 1);
     await until('it runs', async () => (await countCalls(fixture)) === 1);
     const [ran] = await Promise.all(
@@ -88,8 +88,8 @@
   },
 );
 
-test('a call that no sidecar took goes elsewhere and still runs once', LIMIT, async (t) => {
-  const fixture = await createOrders(t, 5);
+test('a call that no sidecar took goes elsewhere and still runs once', TEST_TIMEOUT, async (t) => {
+  const fixture = await createOrderServices(t, 5);
   await fixture.deployment.process('service-1').kill();
   const orders = Array.from({ length: 6 }, (_, index) =>
     placeOrder(fixture, `k4-${index}`, `order ${index}`, 1 + (index % 2)),
--- a/packages/entry/src/process/fixtures.ts
+++ b/packages/entry/src/process/fixtures.ts
@@ -32,7 +32,7 @@
 `;
 
 /** Longest time of a test with real processes: one that hangs has failed. */
-export const LIMIT = { timeout: 90_000 };
+export const TEST_TIMEOUT = { timeout: 90_000 };
 
 const WORKSPACE = 'thapathali-traps';
 
@@ -88,7 +88,7 @@
 }
 
 /** The text that a whole answer must have. */
-export function wholeText(prompt: string, answerTokens: number): string {
+export function completeText(prompt: string, answerTokens: number): string {
   return expectedAnswer(`user: ${prompt}`, answerTokens);
 }
 
--- a/packages/entry/src/process/frozen.process.test.ts
+++ b/packages/entry/src/process/frozen.process.test.ts
@@ -2,19 +2,19 @@
 import test from 'node:test';
 import { until } from '@berylwood/testing';
 import {
-  LIMIT,
+  TEST_TIMEOUT,
   countRecords,
   createDeployment,
   createEngines,
   createService,
   placeOrder,
   stream,
-  wholeText,
+  completeText,
 } from './fixtures';
 
 test(
   'requests whose sidecar is frozen or killed before an answer go elsewhere',
-  LIMIT,
+  TEST_TIMEOUT,
   async (t) => {
     const fixture = await createDeployment(t, { endpoints: createEngines(3) });
     const { deployment } = fixture;
@@ -23,7 +23,7 @@
     const prompts = Array.from({ length: 9 }, (_, index) => `request ${index}`);
     const replies = await Promise.all(prompts.map((prompt) => stream(fixture, prompt, 10)));
     for (const [index, { text, error }] of replies.entries()) {
-      assert.equal(text, wholeText(prompts[index] ?? '', 10), JSON.stringify(error));
+      assert.equal(text, completeText(prompts[index] ?? '', 10), JSON.stringify(error));
     }
     deployment.process('sidecar-engine-1').thaw();
     await until('the thawed sidecar serves again', async () => {
@@ -35,7 +35,7 @@
 
 test(
   'a call whose sidecar is frozen is not told "not run" and runs once at most',
-  LIMIT,
+  TEST_TIMEOUT,
   async (t) => {
     const endpoints = [createService('service-1')];
     const fixture = await createDeployment(t, { endpoints, extra: { standIn: 'delay_ms = 1000' } });
--- a/packages/entry/src/process/keys.process.test.ts
+++ b/packages/entry/src/process/keys.process.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import { until } from '@berylwood/testing';
 import {
-  LIMIT,
+  TEST_TIMEOUT,
   countRecords,
   createDeployment,
   createEngines,
@@ -13,7 +13,7 @@
 
 test(
   'a withdrawn key ends streams, refuses what waits and lets calls complete',
-  LIMIT,
+  TEST_TIMEOUT,
   async (t) => {
     const fixture = await createDeployment(t, {
       endpoints: [...createEngines(1, { slots: 1 }), createService('service-1')],
--- a/packages/entry/src/process/links.process.test.ts
+++ b/packages/entry/src/process/links.process.test.ts
@@ -1,34 +1,38 @@
 import assert from 'node:assert/strict';
 import test from 'node:test';
 import { until } from '@berylwood/testing';
-import { LIMIT, countRecords, createDeployment, stream, wholeText } from './fixtures';
+import { TEST_TIMEOUT, countRecords, createDeployment, stream, completeText } from './fixtures';
 
 const TOKENS = 160;
 
-test('answers survive resets, silence and delay between entry and sidecar', LIMIT, async (t) => {
-  const fixture = await createDeployment(t, { relays: true });
-  const relay = fixture.deployment.relay('entries', 'sidecar-engine-1');
-  const prompts = ['reset', 'silent', 'delayed'];
-  const replies = prompts.map((prompt) => stream(fixture, prompt, TOKENS));
-  await until(
-    'the engine runs them',
-    async () => (await countRecords(fixture, 'engine-1', 'run')) === prompts.length,
-  );
-  relay.reset();
-  await until('the entry is back', () => relay.openCount > 0);
-  relay.delay(30);
-  relay.forget();
-  for (const [index, reply] of (await Promise.all(replies)).entries()) {
-    assert.equal(reply.status, 200);
-    assert.ok(reply.isWhole, JSON.stringify(reply.error));
-    assert.equal(reply.text, wholeText(prompts[index] ?? '', TOKENS));
-  }
-  assert.equal(await countRecords(fixture, 'engine-1', 'run'), prompts.length);
-});
+test(
+  'answers survive resets, silence and delay between entry and sidecar',
+  TEST_TIMEOUT,
+  async (t) => {
+    const fixture = await createDeployment(t, { relays: true });
+    const relay = fixture.deployment.relay('entries', 'sidecar-engine-1');
+    const prompts = ['reset', 'silent', 'delayed'];
+    const replies = prompts.map((prompt) => stream(fixture, prompt, TOKENS));
+    await until(
+      'the engine runs them',
+      async () => (await countRecords(fixture, 'engine-1', 'run')) === prompts.length,
+    );
+    relay.reset();
+    await until('the entry is back', () => relay.openCount > 0);
+    relay.delay(30);
+    relay.forget();
+    for (const [index, reply] of (await Promise.all(replies)).entries()) {
+      assert.equal(reply.status, 200);
+      assert.ok(reply.isWhole, JSON.stringify(reply.error));
+      assert.equal(reply.text, completeText(prompts[index] ?? '', TOKENS));
+    }
+    assert.equal(await countRecords(fixture, 'engine-1', 'run'), prompts.length);
+  },
+);
 
 test(
   'a stream of the engine that falls silent is resumed without loss or repetition',
-  LIMIT,
+  TEST_TIMEOUT,
   async (t) => {
     const fixture = await createDeployment(t, { relays: true });
     const relay = fixture.deployment.relay('sidecar-engine-1', 'engine-1');
@@ -40,7 +44,7 @@
     relay.forget();
     const { text, isWhole, durationMs } = await reply;
     assert.ok(isWhole);
-    assert.equal(text, wholeText('quiet', TOKENS));
+    assert.equal(text, completeText('quiet', TOKENS));
     assert.equal(await countRecords(fixture, 'engine-1', 'run'), 1);
     assert.ok((await countRecords(fixture, 'engine-1', 'resume')) > 0);
     assert.ok(durationMs < 9000, `took ${durationMs} ms`);
--- a/packages/entry/src/process/poison.process.test.ts
+++ b/packages/entry/src/process/poison.process.test.ts
@@ -2,12 +2,12 @@
 import test from 'node:test';
 import { until } from '@berylwood/testing';
 import {
-  LIMIT,
+  TEST_TIMEOUT,
   countRecords,
   createDeployment,
   createEngines,
   stream,
-  wholeText,
+  completeText,
 } from './fixtures';
 
 const ENGINES = 5;
@@ -15,7 +15,7 @@
 
 test(
   'a request that crashes engines is held back after two, and its neighbours are not',
-  LIMIT,
+  TEST_TIMEOUT,
   async (t) => {
     const fixture = await createDeployment(t, {
       entries: 2,
@@ -45,7 +45,7 @@
     }
     for (let index = 0; index < 4; index += 1) {
       const again = await stream(fixture, `innocent ${index}`, 10, 1 + (index % 2));
-      assert.equal(again.text, wholeText(`innocent ${index}`, 10), JSON.stringify(again));
+      assert.equal(again.text, completeText(`innocent ${index}`, 10), JSON.stringify(again));
     }
   },
 );
--- a/packages/entry/src/process/security.process.test.ts
+++ b/packages/entry/src/process/security.process.test.ts
@@ -5,15 +5,15 @@
 import test from 'node:test';
 import { createAuthority } from '@berylwood/testing';
 import { WebSocket } from 'ws';
-import { LIMIT, createDeployment, stream, wholeText } from './fixtures';
+import { TEST_TIMEOUT, createDeployment, stream, completeText } from './fixtures';
 
 /** Port of the first sidecar in a deployment. */
 const SIDECAR_PORT = 23_000;
 
 const FAILURES = 30;
 
-function createTls(folder: string): string {
-  const authority = createAuthority(folder);
+function createTls(directory: string): string {
+  const authority = createAuthority(directory);
   const { certificate, key } = authority.sign('peer');
   return `
 [tls.peers]
@@ -32,14 +32,14 @@
   });
 }
 
-test('processes talk by mutual TLS, and a stranger is refused', LIMIT, async (t) => {
-  const folder = mkdtempSync(join(tmpdir(), 'berylwood-tls-'));
-  t.after(() => rmSync(folder, { recursive: true }));
-  const fixture = await createDeployment(t, { extra: { process: createTls(folder) } });
+test('processes talk by mutual TLS, and a stranger is refused', TEST_TIMEOUT, async (t) => {
+  const directory = mkdtempSync(join(tmpdir(), 'berylwood-tls-'));
+  t.after(() => rmSync(directory, { recursive: true }));
+  const fixture = await createDeployment(t, { extra: { process: createTls(directory) } });
   const reply = await stream(fixture, 'over TLS', 20);
-  assert.equal(reply.text, wholeText('over TLS', 20));
+  assert.equal(reply.text, completeText('over TLS', 20));
   const address = `${fixture.deployment.host}:${SIDECAR_PORT}/entry`;
-  const stranger = createAuthority(folder, 'stranger').sign('stranger-peer');
+  const stranger = createAuthority(directory, 'stranger').sign('stranger-peer');
   const identity = {
     cert: readFileSync(stranger.certificate),
     key: readFileSync(stranger.key),
@@ -48,15 +48,15 @@
   assert.equal(await tryLink(`wss://${address}`, {}), 'refused');
   assert.equal(await tryLink(`wss://${address}`, identity), 'refused');
   const own = {
-    cert: readFileSync(join(folder, 'peer.pem')),
-    key: readFileSync(join(folder, 'peer.key')),
+    cert: readFileSync(join(directory, 'peer.pem')),
+    key: readFileSync(join(directory, 'peer.key')),
   };
   assert.equal(await tryLink(`wss://${address}`, own), 'served');
 });
 
 test(
   'keys reach no log and no endpoint, and refused keys are limited apart from good ones',
-  LIMIT,
+  TEST_TIMEOUT,
   async (t) => {
     const fixture = await createDeployment(t, {});
     const { deployment, secret } = fixture;
@@ -78,7 +78,7 @@
     assert.equal(statuses[0], 401);
     assert.equal(statuses.at(-1), 429);
     const prompt = 'a good key';
-    assert.equal((await stream(fixture, prompt, 5)).text, wholeText(prompt, 5));
+    assert.equal((await stream(fixture, prompt, 5)).text, completeText(prompt, 5));
     const logs = [...deployment.processes.keys()].map((name) =>
       readFileSync(join(deployment.folder, `${name}.log`), 'utf8'),
     );
--- a/packages/entry/src/process/stops.process.test.ts
+++ b/packages/entry/src/process/stops.process.test.ts
@@ -2,11 +2,11 @@
 import test from 'node:test';
 import { until } from '@berylwood/testing';
 import {
-  LIMIT,
+  TEST_TIMEOUT,
   createDeployment,
   createEngines,
   stream,
-  wholeText,
+  completeText,
   type ProcessFixture,
 } from './fixtures';
 
@@ -34,7 +34,7 @@
       const prompt = `caller ${index} turn ${turn}`;
       const entry = await this.#readyEntry(fixture, index);
       const reply = await stream(fixture, prompt, 20, entry).catch((error: unknown) => error);
-      if ((reply as { text?: string }).text !== wholeText(prompt, 20)) {
+      if ((reply as { text?: string }).text !== completeText(prompt, 20)) {
         this.faults.push(
           `${prompt} over entry ${entry}: ${JSON.stringify(reply)} ${String(reply)}`,
         );
@@ -56,7 +56,7 @@
   }
 }
 
-test('planned stops of entries and sidecars cut and refuse nothing', LIMIT, async (t) => {
+test('planned stops of entries and sidecars cut and refuse nothing', TEST_TIMEOUT, async (t) => {
   const fixture = await createDeployment(t, {
     entries: 2,
     endpoints: createEngines(3),
