--- a/packages/entry/src/lib/Admission.ts
+++ b/packages/entry/src/lib/Admission.ts
@@ -4,10 +4,10 @@
 import { ok, type Result } from 'neverthrow';
 import type { Order } from './classify';
 
-/** Crashes after which a fingerprint is held back. */
+/** Number of crashes after which a fingerprint is quarantined. */
 export const QUARANTINE_CRASHES = 2;
 
-/** Holds back content that has crashed endpoints, and marks suspects. @internal */
+/** Rejects quarantined requests and marks suspect ones. @internal */
 export class Admission {
   readonly #subscription: Pick<Subscription, 'state'>;
 
@@ -18,7 +18,7 @@
     this.#timer = timer;
   }
 
-  /** The order as it may run; a failure when it is in quarantine. */
+  /** Returns the order, marked if it is suspect, or a failure if it is quarantined. */
   admit(order: Order): Result<Order, Failure> {
     const suspicion = this.#suspicionOf(order);
     if (!suspicion) return ok(order);
@@ -29,7 +29,7 @@
     return ok({ ...order, job: { ...order.job, isSuspect: true } });
   }
 
-  /** Whether this entry knows of a crash by the same content. */
+  /** Whether this entry has received a suspicion of the same content. */
   isSuspected(order: Order): boolean {
     return this.#suspicionOf(order) !== undefined;
   }
--- a/packages/entry/src/lib/Dispatcher.ts
+++ b/packages/entry/src/lib/Dispatcher.ts
@@ -32,10 +32,10 @@
   readonly mayStart: () => boolean;
 }
 
-/** States in which no attempt is under way. */
+/** States in which a request has no attempt in flight. */
 const STATES_WITHOUT_ATTEMPT = new Set(['waiting', 'deferred', 'lost', 'broken']);
 
-/** Longest wait for a suspicion to be committed, in milliseconds. */
+/** Maximum time to wait until a suspicion is committed, in milliseconds. */
 const SUSPICION_TIMEOUT_MS = 3000;
 
 const SUSPICION_POLL_INTERVAL_MS = 20;
@@ -77,7 +77,7 @@
     });
   }
 
-  /** Requests that wait or run. */
+  /** Number of requests that are waiting or running. */
   get openCount(): number {
     return this.#exchanges.size;
   }
@@ -86,7 +86,7 @@
     return [...this.#exchanges.keys()];
   }
 
-  /** Takes over a request until its exchange has ended. */
+  /** Registers a request and manages it until its exchange has ended. */
   submit(exchange: Exchange): void {
     const { timer, scheduler, journal } = this.#options;
     const { request, job } = exchange.order;
@@ -101,7 +101,7 @@
     this.#offer(exchange);
   }
 
-  /** Carries out what the scheduler decides now. */
+  /** Runs the scheduler and carries out its decisions. */
   decide(): void {
     if (this.#isDeciding || !this.#options.mayStart()) return;
     this.#isDeciding = true;
@@ -119,7 +119,7 @@
     this.#armDecisionTimer();
   }
 
-  /** Refuses what has not been dispatched and matches. */
+  /** Fails matching requests that have no attempt in flight and have not crashed an endpoint. */
   rejectWaiting(failure: Failure, matches: (exchange: Exchange) => boolean): void {
     for (const exchange of [...this.#exchanges.values()]) {
       const isWaiting =
@@ -128,7 +128,10 @@
     }
   }
 
-  /** A key is withdrawn: what waits is refused, streams end, calls of plain services complete. */
+  /**
+   * Applies withdrawn keys. Requests that were never dispatched are rejected, requests to engines
+   * end with an error, and calls of plain services run to completion.
+   */
   withdrawKeys(isValid: (key: KeyId) => boolean): void {
     const { keyRefused, keyWithdrawn } = requestCodes;
     for (const exchange of [...this.#exchanges.values()]) {
@@ -230,7 +233,7 @@
     }
   }
 
-  /** Late and crossed answers belong to attempts that are not here any more. */
+  /** Counts a message on an attempt that has ended or is not on the sending endpoint. */
   #countDiscarded(): void {
     this.#options.metrics
       .counter('discarded_messages_total', 'Messages on attempts that have ended.')
@@ -261,8 +264,8 @@
   }
 
   /**
-   * After a crash the caller is answered once every entry that takes work knows of the suspicion, so
-   * that a resend is not run as an unsuspected request elsewhere.
+   * Fails a request. After a crash, waits until every entry that accepts requests has received the
+   * suspicion: a resend through another entry would otherwise run as an unsuspected request.
    */
   #fail(exchange: Exchange, failure: Failure, since: number): void {
     const { admission, timer } = this.#options;
--- a/packages/entry/src/lib/EndpointTable.ts
+++ b/packages/entry/src/lib/EndpointTable.ts
@@ -24,30 +24,31 @@
 interface Row {
   member: Member;
   readonly dialer: Dialer<EntryMessage, SidecarMessage>;
-  /** Incarnation that the sidecar itself has told over the open link. */
+  /** Incarnation that the sidecar has reported over the open link. */
   incarnation: IncarnationId | undefined;
   isLeaving: boolean;
   isDown: boolean;
-  /** An answer was missed over the link; nothing new is sent over it until a message has come. */
+  /** The sidecar did not reply in time. It gets no new work until it sends a message. */
   isSuspect: boolean;
   isListed: boolean;
 }
 
-/** Time that an endpoint missing from the list keeps its row without a link, in milliseconds. */
+/** Time for which an unlisted endpoint without a link keeps its row, in milliseconds. */
 const UNLISTED_RETENTION_MS = 10_000;
 
 /**
- * The endpoints an entry knows, each with a kept link to its sidecar. The list lags, so a row whose
- * link is open stays while the list lacks it, and "leaving" from any source wins.
+ * The endpoints of an entry, each with a persistent link to its sidecar. The list can lag behind,
+ * so an unlisted endpoint keeps its row while its link is open. An endpoint counts as leaving as
+ * soon as either the list or its sidecar reports it.
  * @internal
  */
 export class EndpointTable implements Disposable {
   onMessage: (endpoint: EndpointId, message: SidecarMessage) => void = () => {};
 
-  /** Called when a link has opened or closed, or a member has changed. */
+  /** Called when a link, a member or the state of an endpoint has changed. */
   onChange: () => void = () => {};
 
-  /** Called when a sidecar has told its incarnation over a new link. */
+  /** Called when a sidecar has reported its incarnation over a new link. */
   onConnected: (connection: EndpointConnection) => void = () => {};
 
   onLinkLost: (endpoint: EndpointId, link: SidecarLink) => void = () => {};
@@ -72,7 +73,7 @@
     }));
   }
 
-  /** Where an attempt may be sent; undefined while the endpoint takes none. */
+  /** Connection for a new attempt; undefined while the endpoint accepts none. */
   connectionTo(endpoint: EndpointId): EndpointConnection | undefined {
     const row = this.#rows.get(endpoint);
     const { link } = row?.dialer ?? {};
@@ -80,7 +81,7 @@
     return { endpoint, incarnation: row.incarnation, link };
   }
 
-  /** An answer was missed over the endpoint's link. */
+  /** Marks an endpoint whose sidecar did not reply in time. */
   suspect(endpoint: EndpointId): void {
     const row = this.#rows.get(endpoint);
     if (!row || row.isSuspect) return;
@@ -88,7 +89,7 @@
     this.onChange();
   }
 
-  /** Takes in the members as the control group knows them. */
+  /** Applies the members that the control group reports. */
   update(members: ReadonlyMap<EndpointId, Member>): void {
     for (const [endpoint, row] of this.#rows) {
       row.isListed = members.has(endpoint);
@@ -177,7 +178,7 @@
     hello: Extract<SidecarMessage, { type: 'hello' }>,
   ): void {
     const { endpoint } = row.member;
-    // Another endpoint may have taken over the address.
+    // Another endpoint may use the address now.
     if (hello.endpoint !== endpoint) {
       link[Symbol.dispose]();
       return;
@@ -200,6 +201,6 @@
 
 function isOpen({ dialer, incarnation, member, isLeaving, isDown, isSuspect }: Row): boolean {
   if (!dialer.link || !incarnation || isLeaving || isDown || isSuspect) return false;
-  // An old member's state says nothing about a new incarnation.
+  // The listed state of an old incarnation does not apply to a new one.
   return member.state === 'live' || member.incarnation !== incarnation;
 }
--- a/packages/entry/src/lib/Entry.ts
+++ b/packages/entry/src/lib/Entry.ts
@@ -45,16 +45,16 @@
   readonly journal: Journal;
   readonly metrics: Metrics;
   readonly identity?: LinkIdentity;
-  /** Certificate shown to callers; they speak plain HTTP when it is left out. */
+  /** Certificate presented to callers. Without it the entry serves plain HTTP. */
   readonly certificate?: CertificateFiles;
 }
 
 const DRAIN_POLL_INTERVAL_MS = 20;
 
-/** Time without freshness after which waiting requests are refused, in milliseconds. */
+/** Time without freshness after which waiting requests are rejected, in milliseconds. */
 const MAX_STALE_HOLD_MS = 3000;
 
-/** Authenticates callers, schedules their requests and relays the answers. @public */
+/** Authenticates callers, schedules their requests and relays the responses. @public */
 export class Entry extends Task {
   readonly name = 'entry';
 
@@ -148,7 +148,7 @@
   }
 
   protected override handle(): void {
-    // Requests come over the caller server.
+    // Requests arrive through the caller server.
   }
 
   #applyState(): void {
@@ -162,7 +162,7 @@
     );
   }
 
-  /** A short loss of freshness holds requests back; a longer one refuses them. */
+  /** Holds requests during a short loss of freshness and rejects them after a longer one. */
   #applyFreshness(isFresh: boolean): void {
     this.#staleTimer?.[Symbol.dispose]();
     if (isFresh) {
@@ -210,7 +210,7 @@
       return;
     }
     const body = await readBody(request, settings.maxBodyBytes);
-    // The body may have taken long: what was checked before it is checked again.
+    // Freshness and key are checked again: they may have changed while the body was read.
     const { state, isFresh } = this.#subscription;
     const { configuration } = state;
     const { keyRefused, notFresh } = requestCodes;
@@ -232,7 +232,7 @@
     else if (!response.destroyed) this.#dispatcher.submit(new Exchange(admitted.value, response));
   }
 
-  /** Holds a workspace to its plan's limits, by this entry's own count. */
+  /** Applies the limits of a workspace's plan, counting the requests of this entry only. */
   #applyPlanLimits(order: Order, response: ServerResponse): Result<Order, Failure> {
     const { timer } = this.#options;
     const { workspace, promptTokens, answerTokens } = order.job;
@@ -244,7 +244,7 @@
     });
   }
 
-  /** Refused keys from one address in quick succession get another answer. */
+  /** Replaces `keyRefused` by `tooManyFailures` for an address that sends many rejected keys. */
   #limitKeyFailures(request: IncomingMessage, failure: Failure): Failure {
     const { keyRefused, tooManyFailures } = requestCodes;
     if (failure.code !== keyRefused) return failure;
--- a/packages/entry/src/lib/Exchange.ts
+++ b/packages/entry/src/lib/Exchange.ts
@@ -15,37 +15,37 @@
 
 export type AttemptMessage = Exclude<SidecarMessage, { type: 'hello' | 'load' | 'cache' }>;
 
-/** Where an attempt runs. @internal */
+/** The incarnation of an endpoint that runs an attempt, and the link to its sidecar. @internal */
 export interface EndpointConnection {
   readonly endpoint: EndpointId;
   readonly incarnation: IncarnationId;
   readonly link: SidecarLink;
 }
 
-/** What is known when an attempt has ended without an answer. @internal */
+/** Failure of an attempt that ended without a complete response. @internal */
 export interface AttemptFailure {
   readonly failure: Failure;
-  /** The endpoint crashed meanwhile. */
+  /** Whether the endpoint crashed during the attempt. */
   readonly crashed: boolean;
 }
 
-/** Joins what is known of two attempts: one that ran outweighs one that did not. */
+/** Combines the `notRun` of two attempts: `false` outweighs `unknown`, which outweighs `true`. */
 function combineNotRun(a: NotRun, b: NotRun): NotRun {
   if (a === false || b === false) return false;
   return a === 'unknown' || b === 'unknown' ? 'unknown' : true;
 }
 
-/** A request of a caller and its present attempt. @internal */
+/** A caller's request and its current attempt. @internal */
 export class Exchange {
-  /** Called when the attempt has ended and the request has not: retry, or fail. */
+  /** Called when an attempt has failed; the handler retries or fails the request. */
   onAttemptFailed: (setback: AttemptFailure) => void = () => {};
 
-  /** Called once when the exchange has ended in whatever way. */
+  /** Called once when the exchange has completed or failed; not after `abandon`. */
   onEnd: (outcome: 'completed' | 'failed', failure?: Failure) => void = () => {};
 
   onProgress: (tokens: number) => void = () => {};
 
-  /** Called after each change of state. */
+  /** Called after each state transition. */
   onState: () => void = () => {};
 
   order: Order;
@@ -60,21 +60,21 @@
 
   connection: EndpointConnection | undefined;
 
-  /** A claim for the attempt is committed, or may be. */
+  /** Whether a claim for the attempt is committed or may be. */
   hasClaim = false;
 
-  /** Attempts that were dispatched. */
+  /** Number of dispatched attempts. */
   attempts = 0;
 
-  /** Endpoints that crashed while they ran the request. */
+  /** Number of endpoints that crashed while they ran the request. */
   crashes = 0;
 
   tokens = 0;
 
-  /** Timeout of the present state. */
+  /** Timeout of the current state. */
   timeout: Disposable | undefined;
 
-  /** What is known of the attempts before this one. */
+  /** Combined `notRun` of the attempts before this one. */
   #earlierNotRun: NotRun = true;
 
   constructor(order: Order, response: ServerResponse) {
@@ -90,12 +90,12 @@
     return this.lifecycle.isFinal;
   }
 
-  /** What the caller may be told now of the execution of its request. */
+  /** The `notRun` that an error would report to the caller now. */
   get notRun(): NotRun {
     return combineNotRun(this.#earlierNotRun, this.lifecycle.note.notRun);
   }
 
-  /** Moves to the next state; false when the present one does not take the event. */
+  /** Moves to the next state; returns false if the current state does not accept the event. */
   send(event: ExchangeEvent): boolean {
     const { note } = this.lifecycle;
     if (!this.lifecycle.send(event)) return false;
@@ -137,12 +137,12 @@
     );
   }
 
-  /** A granted attempt that could not be sent may go elsewhere. */
+  /** Ends an attempt that could not be sent; it may be retried on another endpoint. */
   defer(failure: Failure): void {
     if (this.send('refused')) this.onAttemptFailed({ failure, crashed: false });
   }
 
-  /** Answers with the stored outcome of an earlier request. */
+  /** Responds with the stored outcome of an earlier request. */
   replay(status: number, headers: Record<string, string>, body: Uint8Array): void {
     if (!this.send('replay')) return;
     this.writer.head(status, { ...headers, 'content-length': String(body.length) });
@@ -151,17 +151,20 @@
     this.onEnd('completed');
   }
 
-  /** Says from now on that an earlier attempt may have run. */
+  /** Records that an earlier attempt may have run. Errors no longer report `notRun: true`. */
   markPossiblyRun(): void {
     this.#earlierNotRun = combineNotRun(this.#earlierNotRun, 'unknown');
   }
 
-  /** The link of the attempt is gone. */
+  /** Handles the loss of a link. */
   detach(link: SidecarLink): void {
     if (this.connection?.link === link) this.send('linkLost');
   }
 
-  /** A new link to the endpoint is open; another incarnation does not know the attempt. */
+  /**
+   * Handles a new link to an endpoint. A detached attempt is revoked, or resumed once its response has
+   * started. An attempt of another incarnation has failed.
+   */
   attach(connection: EndpointConnection): void {
     if (!this.connection || this.connection.endpoint !== connection.endpoint) return;
     const { state } = this.lifecycle;
@@ -175,12 +178,12 @@
     else this.#requestResume();
   }
 
-  /** No news within the time of the present state. */
+  /** Handles the timeout of the current state. */
   expire(): void {
     if (this.send('expire')) this.#failAttempt('the sidecar did not answer in time');
   }
 
-  /** Takes a message on the present attempt. */
+  /** Handles a message on the current attempt. */
   receive(message: AttemptMessage): void {
     switch (message.type) {
       case 'accepted':
@@ -207,12 +210,12 @@
     }
   }
 
-  /** Makes the request ready to be scheduled again, as another attempt when this one has run. */
+  /** Prepares the request to be scheduled again, as a new attempt if this one may have run. */
   retry(order: Order): void {
     const mayHaveRun = this.lifecycle.state !== 'deferred';
     this.order = order;
     this.connection = undefined;
-    // A claim allows one attempt in all, so it goes elsewhere under the same id when it never ran.
+    // A claim allows a single attempt, so a claimed attempt that did not run keeps its id.
     if (mayHaveRun || !this.hasClaim) this.attempt = createAttemptId();
     this.send('retry');
   }
@@ -221,7 +224,7 @@
   fail(failure: Failure): void {
     if (this.hasEnded) return;
     const { code, message, retryAfterMs } = failure;
-    // A claim of another request with the same key may have run.
+    // Some codes limit it: another request with the same idempotency key may have run.
     const notRun = code.notRun === true ? this.notRun : combineNotRun(this.notRun, code.notRun);
     const callerFailure = new Failure(code, message, { retryAfterMs, notRun });
     this.#endAttempt();
@@ -230,7 +233,7 @@
     this.onEnd('failed', callerFailure);
   }
 
-  /** The caller is gone: the attempt is cancelled. */
+  /** Cancels the attempt after the caller has closed its connection. */
   abandon(): void {
     if (this.hasEnded) return;
     this.#endAttempt();
@@ -266,7 +269,7 @@
   #attemptFailed(message: Extract<SidecarMessage, { type: 'refused' | 'failed' }>): void {
     const { notRun = true, crashed = false } = message.type === 'failed' ? message : {};
     const events = { true: 'refused', unknown: 'lost', false: 'broken' } as const;
-    // An answer that has begun has run, whatever the sidecar knows of it now.
+    // Once its response has started, the attempt has run, whatever the sidecar reports now.
     const isAccepted = this.send(events[`${notRun}`]) || this.send('broken');
     if (!isAccepted) return;
     this.#release();
@@ -280,7 +283,7 @@
     this.onAttemptFailed({ failure: new Failure(code, message), crashed: false });
   }
 
-  /** Work that nobody waits for is cancelled; the sidecar lets calls go on that may not be repeated. */
+  /** Cancels the attempt. The sidecar still completes calls that must not be repeated. */
   #endAttempt(): void {
     if (this.connection) this.connection.link.send({ type: 'cancel', attempt: this.attempt }, true);
   }
--- a/packages/entry/src/lib/Recovery.ts
+++ b/packages/entry/src/lib/Recovery.ts
@@ -4,26 +4,26 @@
 import { QUARANTINE_CRASHES } from './Admission';
 import type { Exchange, AttemptFailure } from './Exchange';
 
-/** What follows a setback of an attempt. @internal */
+/** Decision after a failed attempt. @internal */
 export type RecoveryDecision =
   | { readonly type: 'retry'; readonly delayMs: number; readonly isSuspect: boolean }
   | { readonly type: 'fail'; readonly failure: Failure };
 
-/** Tries of a request that may have run before it is given up. */
+/** Maximum number of attempts of a request that may have run. */
 const MAX_ATTEMPTS = 3;
 
-/** Refusals before the hand-over after which a request is given up. */
+/** Maximum number of retries of a request whose attempts are proved not to have run. */
 const MAX_DEFERRALS = 20;
 
 const DEFERRAL_DELAY_MS = 10;
 
-/** Retries saved up in a quiet time: about what the slots of one endpoint held. */
+/** Retries that the budget accumulates: about the number of slots of one endpoint. */
 const RETRY_BURST = 50;
 
-/** Least delay after a crash: most entries learn of the suspicion meanwhile. */
+/** Base of the minimum delay after a crash, in which most entries receive the suspicion. */
 const CRASH_RETRY_DELAY_MS = 250;
 
-/** Decides whether a request goes on after its attempt has ended without an answer. @internal */
+/** Decides whether a request is retried after a failed attempt. @internal */
 export class Recovery {
   readonly #budget = new RetryBudget({ burst: RETRY_BURST });
 
@@ -35,7 +35,7 @@
     this.#random = random;
   }
 
-  /** A request was dispatched for the first time. */
+  /** Records the first dispatch of a request in the retry budget. */
   recordRequest(): void {
     this.#budget.recordRequest();
   }
@@ -56,7 +56,7 @@
     return { type: 'retry', delayMs, isSuspect: job.isSuspect || crashed };
   }
 
-  /** An attempt that is proved not to have run may go elsewhere, whatever the request. */
+  /** Delay before a retry of an attempt that is proved not to have run, also if not idempotent. */
   #deferralDelayMs(exchange: Exchange): number | undefined {
     const deferrals = (this.#deferrals.get(exchange) ?? 0) + 1;
     this.#deferrals.set(exchange, deferrals);
--- a/packages/entry/src/lib/classify.ts
+++ b/packages/entry/src/lib/classify.ts
@@ -20,7 +20,7 @@
 import { isTooDeep } from './isTooDeep';
 import { digestBlocks } from './digestBlocks';
 
-/** A request that may be scheduled. @internal */
+/** A classified request, ready to be scheduled. @internal */
 export interface Order {
   readonly request: RequestId;
   readonly identity: Identity;
@@ -36,17 +36,17 @@
   readonly idempotencyKey: string | undefined;
 }
 
-/** Header by which a caller names the class of a request. */
+/** Header in which a caller sets the class of a request. */
 const CLASS_HEADER = 'x-request-class';
 
-/** Header that names a request which may not be repeated, over resends. */
+/** Header that identifies a request that must not be repeated across its resends. */
 const IDEMPOTENCY_HEADER = 'idempotency-key';
 
 const MAX_IDEMPOTENCY_KEY_LENGTH = 255;
 
 const BYTES_PER_TOKEN = 4;
 
-/** Answer length assumed before anything is known about it. */
+/** Response length assumed without `max_tokens`, and the upper bound of the estimate with it. */
 const DEFAULT_ANSWER_TOKENS = 256;
 
 function parseCompletion(body: Buffer): Result<Completion, Failure> {
--- a/packages/entry/src/lib/exchangeMachine.ts
+++ b/packages/entry/src/lib/exchangeMachine.ts
@@ -1,11 +1,11 @@
 import { LifecycleTable, type NotRun } from '@berylwood/base';
 import { createMachine } from 'xstate';
 
-/** What may be said of the present attempt of a request in one state of the entry. @internal */
+/** Properties of a state of a request in the entry. @internal */
 export interface ExchangeNote {
   /** Whether the attempt is proved not to have run. */
   readonly notRun: NotRun;
-  /** Time without news after which `expire` is sent, in milliseconds. */
+  /** Time in the state after which `expire` is sent, in milliseconds. */
   readonly limitMs?: number;
 }
 
@@ -34,10 +34,10 @@
 const ran: ExchangeNote = { notRun: false };
 const unknown: ExchangeNote = { notRun: 'unknown' };
 
-/** Time for a new link before a request that has sent nothing to its caller goes elsewhere. */
+/** Time to wait for a new link before a request without a response is retried elsewhere. */
 const DETACHED_TIMEOUT_MS = 4000;
 
-/** Time for a new link in the middle of an answer, which can go on nowhere else. */
+/** Time to wait for a new link during a response, which cannot continue on another endpoint. */
 const STREAM_DETACHED_TIMEOUT_MS = 12_000;
 
 const REVOKE_TIMEOUT_MS = 2000;
@@ -50,7 +50,7 @@
   lost: 'lost',
 } as const;
 
-/** The life of a request in the entry. @internal */
+/** Lifecycle of a request in the entry. @internal */
 const exchangeMachine = createMachine({
   id: 'entry',
   initial: 'waiting',
