--- a/packages/entry/src/lib/CallerServer.ts
+++ b/packages/entry/src/lib/CallerServer.ts
@@ -6,7 +6,7 @@
 import type { CertificateWatch } from './CertificateWatch';
 import { sendFailure } from './sendFailure';
 
-/** What the caller server needs of its entry. @internal */
+/** Callbacks from the caller server to its entry. @internal */
 export interface CallerHandlers {
   serve(request: IncomingMessage, response: ServerResponse): Promise<void>;
   isReady(): boolean;
@@ -15,13 +15,17 @@
 
 const KEEP_ALIVE_TIMEOUT_MS = 65_000;
 
-/** Time that a connection is kept after its answer while the server closes; 0 would mean for ever. */
+/** Idle timeout of connections while the server closes; 0 would disable the timeout. */
 const CLOSING_KEEP_ALIVE_TIMEOUT_MS = 1;
 
 const MAX_HEADER_BYTES = 32 * 1024;
 const CONNECTION_CHECK_INTERVAL_MS = 1000;
 
-/** HTTP/1.1 listener for callers, with TLS when a certificate is given, with health, readiness and metrics. @internal */
+/**
+ * HTTP/1.1 server for callers, with TLS if a certificate is given. It also serves health, readiness
+ * and metrics.
+ * @internal
+ */
 export class CallerServer {
   readonly #settings: EntrySettings;
 
@@ -61,10 +65,10 @@
     return listenOn(this.#server, this.#settings.listen);
   }
 
-  /** Closes each connection after its present answer, and resolves when all are closed. */
+  /** Closes each connection after its current response, and resolves when all are closed. */
   async close(): Promise<void> {
     this.#isClosing = true;
-    // A connection whose answer had begun before is kept open by its headers, so it ends as idle.
+    // Responses that have started promised keep-alive, so their connections end by idle timeout.
     this.#server.keepAliveTimeout = CLOSING_KEEP_ALIVE_TIMEOUT_MS;
     const closed = new Promise((resolve) => {
       this.#server.close(resolve);
--- a/packages/entry/src/lib/CertificateWatch.ts
+++ b/packages/entry/src/lib/CertificateWatch.ts
@@ -3,13 +3,13 @@
 import { DisposableStore, type Journal, type Timer } from '@berylwood/base';
 import { entryEvents } from './events';
 
-/** Files of the certificate shown to callers. @public */
+/** Files of the certificate presented to callers. @public */
 export interface CertificateFiles {
   readonly certificate: string;
   readonly key: string;
 }
 
-/** What a TLS server is given. @internal */
+/** Certificate and private key for a TLS server. @internal */
 export interface Certificate {
   readonly cert: Buffer;
   readonly key: Buffer;
@@ -17,9 +17,9 @@
 
 const CHECK_INTERVAL_MS = 2000;
 
-/** Reads the certificate's files again when their content changes. @internal */
+/** Polls the certificate's files and reloads them when their content changes. @internal */
 export class CertificateWatch implements Disposable {
-  /** Called with each new certificate that fits its key. */
+  /** Called with each new certificate that matches its key. */
   onChange: (certificate: Certificate) => void = () => {};
 
   readonly #files: CertificateFiles;
@@ -31,7 +31,7 @@
   #current: Certificate;
 
   /**
-   * @throws when the files can not be read.
+   * @throws when the files cannot be read.
    */
   constructor(files: CertificateFiles, timer: Timer, journal: Journal) {
     this.#files = files;
@@ -44,7 +44,7 @@
     return this.#current;
   }
 
-  /** Compares the files with what is in use; a pair that does not fit is left out. */
+  /** Reloads the files if they have changed. An unusable pair is logged and not applied. */
   check(): void {
     try {
       const next = readCertificate(this.#files);
--- a/packages/entry/src/lib/ClaimClient.ts
+++ b/packages/entry/src/lib/ClaimClient.ts
@@ -11,15 +11,19 @@
 import type { Exchange } from './Exchange';
 
 const CLAIM_TIMEOUT_MS = 3000;
-/** Time in which the sidecar's own word on the outcome goes first, in milliseconds. */
+/** Time in which the sidecar can store its outcome before the entry stores `unknown`. */
 const UNKNOWN_SETTLE_DELAY_MS = 20_000;
 
 const SETTLE_RETRY_INTERVAL_MS = 500;
 
-/** Tries to store an outcome; a claim that stays unsettled is answered as running. */
+/** Maximum attempts to store an outcome. Resends of an unsettled claim fail as running. */
 const MAX_SETTLE_ATTEMPTS = 60;
 
-/** Claims requests that may not be repeated, and stores outcomes that only the entry knows. @internal */
+/**
+ * Claims requests that must not be repeated, and stores the outcomes of those that did not run or
+ * whose outcome is unknown.
+ * @internal
+ */
 export class ClaimClient {
   readonly #subscription: Pick<Subscription, 'call'>;
 
@@ -30,7 +34,7 @@
     this.#timer = timer;
   }
 
-  /** Asks for the one attempt that the key allows. */
+  /** Requests the single attempt that the idempotency key allows. */
   async claim(exchange: Exchange, endpoint: EndpointId): Promise<Result<ClaimAnswer, Failure>> {
     const { order, attempt } = exchange;
     const answer = await this.#subscription.call<unknown>(
@@ -57,7 +61,7 @@
     this.#settle(exchange, 'notRun', requestCodes.claimSpent.status).catch(() => {});
   }
 
-  /** Stores what the entry knows of a failed request; the sidecar stores what has run. */
+  /** Stores the outcome of a failed request, unless it has run: then the sidecar stores it. */
   settleFailure(exchange: Exchange, failure: Failure): void {
     if (failure.notRun === true) this.settleNotRun(exchange);
     if (failure.notRun !== 'unknown') return;
--- a/packages/entry/src/lib/ClaimRun.ts
+++ b/packages/entry/src/lib/ClaimRun.ts
@@ -3,10 +3,10 @@
 import type { ClaimClient } from './ClaimClient';
 import type { Exchange } from './Exchange';
 
-/** Names an answer that was stored when the request ran before. */
+/** Header that marks a response stored by an earlier run of the request. */
 const REPLAY_HEADER = 'idempotency-replayed';
 
-/** Claims a request that may not be repeated and goes on by the answer. @internal */
+/** Claims a request that must not be repeated, then dispatches, replays or fails it. @internal */
 export class ClaimRun {
   readonly #claims: ClaimClient;
 
@@ -25,7 +25,7 @@
     if (!exchange.send('claim')) return;
     const answer = await this.#claims.claim(exchange, endpoint);
     if (answer.isErr()) {
-      // The claim may be committed all the same; it is settled as not run.
+      // The claim may still be committed, so it is settled as not run.
       exchange.hasClaim = true;
       const { claimUnavailable } = requestCodes;
       exchange.fail(new Failure(claimUnavailable, claimUnavailable.meaning));
@@ -62,7 +62,7 @@
     } else if (answer.outcome === 'notRun') {
       this.#exchange.fail(new Failure(claimSpent, claimSpent.meaning));
     } else {
-      // The attempt of this resend has not run, but the one before it may have.
+      // This resend has not run, but the earlier request may have.
       this.#exchange.markPossiblyRun();
       this.#exchange.fail(new Failure(outcomeUnknown, outcomeUnknown.meaning));
     }
--- a/packages/entry/src/lib/FailureLimiter.ts
+++ b/packages/entry/src/lib/FailureLimiter.ts
@@ -1,12 +1,12 @@
 import type { Timer } from '@berylwood/base';
 
-/** Refused keys that one address may send at once. */
+/** Maximum burst of rejected keys from one address. */
 const FAILURE_BURST = 20;
 
-/** Further refused keys a second. */
+/** Rate at which the burst of an address refills, in rejected keys per second. */
 const FAILURES_PER_S = 1;
 
-/** Addresses remembered; the oldest is forgotten first. */
+/** Maximum number of tracked addresses; the least recently used is evicted first. */
 const MAX_ADDRESSES = 10_000;
 
 const MS_PER_S = 1000;
@@ -17,8 +17,8 @@
 }
 
 /**
- * Limits how fast one address may try keys. Only refused keys count and only they are limited, as
- * many callers may share one address.
+ * Limits the rate at which one address may try keys. Only rejected keys are counted and limited,
+ * because many callers may share one address.
  * @internal
  */
 export class FailureLimiter {
@@ -30,7 +30,7 @@
     this.#timer = timer;
   }
 
-  /** Counts a refused key; false when the address is over its limit. */
+  /** Counts a rejected key; returns false if the address exceeds its limit. */
   recordFailure(address: string): boolean {
     const now = this.#timer.now();
     const bucket = this.#buckets.get(address) ?? { tokens: FAILURE_BURST, at: now };
--- a/packages/entry/src/lib/ResponseWriter.ts
+++ b/packages/entry/src/lib/ResponseWriter.ts
@@ -2,15 +2,15 @@
 import type { Failure } from '@berylwood/base';
 import { sendFailure } from './sendFailure';
 
-/** Bytes received after which the sidecar is told, so that it may forget them. */
+/** Bytes after which the sidecar gets an acknowledgement, so that it can discard them. */
 const ACKNOWLEDGE_BYTES = 32 * 1024;
 
 const KEEP_ALIVE_COMMENT = ': keep-alive\n\n';
 const EVENT_END = Buffer.from('\n\n');
 
-/** Writes an answer to its caller: in order, without gap or repetition, at the caller's pace. @internal */
+/** Writes a response in order, without gaps or repetition, with backpressure. @internal */
 export class ResponseWriter {
-  /** Called with the offset up to which the caller has taken the answer. */
+  /** Called with the offset up to which the response may be acknowledged to the sidecar. */
   onConsumed: (offset: number) => void = () => {};
 
   readonly #response: ServerResponse;
@@ -25,29 +25,29 @@
 
   #isDraining = false;
 
-  /** Whether anything was written since the last check for silence. */
+  /** Whether data was written since the last call of `keepAlive`. */
   #isActive = true;
 
   constructor(response: ServerResponse) {
     this.#response = response;
   }
 
-  /** Bytes of the answer received so far. */
+  /** Bytes of the response received so far. */
   get received(): number {
     return this.#received;
   }
 
-  /** Whether an answer can still be begun anew. */
+  /** Whether no byte was received yet, so that another attempt can still respond. */
   get isEmpty(): boolean {
     return this.#received === 0;
   }
 
-  /** Keeps the head until there is something to send: until then another endpoint may answer. */
+  /** Stores the head until there is data to send; until then another attempt can replace it. */
   head(status: number, headers: Record<string, string>): void {
     this.#head = { status, headers };
   }
 
-  /** Takes a part of the answer; false when it left a gap or brought nothing new. */
+  /** Writes a part of the response; returns false if it leaves a gap or contains nothing new. */
   data(offset: number, bytes: Uint8Array): boolean {
     const end = offset + bytes.length;
     if (offset > this.#received || end <= this.#received) return false;
@@ -67,13 +67,13 @@
     this.#response.end();
   }
 
-  /** Ends with an error, also when a part of the answer was sent. */
+  /** Ends with an error, also if part of the response was sent. */
   fail(failure: Failure): void {
     if (!this.#isAtEventEnd) this.#response.write(EVENT_END);
     sendFailure(this.#response, failure);
   }
 
-  /** Lets the caller of a quiet stream know that the connection lives. */
+  /** Writes a keep-alive comment to an event stream without data since the last call. */
   keepAlive(): void {
     const isQuiet = !this.#isActive && this.#isAtEventEnd && this.#response.writableLength === 0;
     this.#isActive = false;
@@ -86,7 +86,7 @@
   #sendHead(): void {
     if (!this.#head || this.#response.headersSent) return;
     const { status, headers } = this.#head;
-    // Only headers that were set can be read again when the answer fails.
+    // `sendFailure` can only read headers that were set by `setHeader`.
     for (const [name, value] of Object.entries(headers)) this.#response.setHeader(name, value);
     this.#response.writeHead(status);
   }
--- a/packages/entry/src/lib/authenticate.ts
+++ b/packages/entry/src/lib/authenticate.ts
@@ -4,7 +4,7 @@
 import { requestCodes, type KeyRecord } from '@berylwood/schema';
 import { ok, type Result } from 'neverthrow';
 
-/** A key as it arrived, with its record. @internal */
+/** The secret of a caller's key, with the key's record. @internal */
 export interface Identity {
   readonly secret: string;
   readonly record: KeyRecord;
@@ -12,7 +12,7 @@
 
 /**
  * Finds the workspace of the key in an `Authorization: Bearer` header. The look-up is by the hash,
- * and the hashes are compared in constant time, so that timing tells nothing about a secret.
+ * and the hashes are compared in constant time, so that timing reveals nothing about a secret.
  * @internal
  */
 export function authenticate(
--- a/packages/entry/src/lib/checkHeaders.ts
+++ b/packages/entry/src/lib/checkHeaders.ts
@@ -3,7 +3,7 @@
 import { requestCodes } from '@berylwood/schema';
 import { ok, type Result } from 'neverthrow';
 
-/** Headers whose meaning would depend on which of two copies is read. */
+/** Headers that must not be repeated, as servers differ in which copy they use. */
 const SINGLE_VALUE_HEADERS = [
   'authorization',
   'content-type',
@@ -12,7 +12,7 @@
   'x-request-class',
 ];
 
-/** Refuses requests whose headers two readers could understand differently. @internal */
+/** Rejects requests whose headers two HTTP parsers could interpret differently. @internal */
 export function checkHeaders(request: IncomingMessage): Result<void, Failure> {
   for (const name of SINGLE_VALUE_HEADERS) {
     if ((request.headersDistinct[name]?.length ?? 0) > 1) {
--- a/packages/entry/src/lib/completionSchema.ts
+++ b/packages/entry/src/lib/completionSchema.ts
@@ -7,7 +7,7 @@
   content: z.union([z.string(), z.array(z.looseObject({ type: z.string() })), z.null()]).optional(),
 });
 
-/** What the entry reads of a completion request; other fields pass to the engine. @internal */
+/** Fields of a completion request that the entry reads; others are not checked. @internal */
 export const completionSchema = z.looseObject({
   model: z.string().min(1).max(MAX_NAME_LENGTH),
   stream: z.boolean().optional(),
@@ -18,7 +18,7 @@
 
 export type Completion = z.output<typeof completionSchema>;
 
-/** Text of a prompt in its order; what is no text counts as its JSON. @internal */
+/** Text of a prompt in original order; content other than text counts as JSON. @internal */
 export function promptOf({ messages = [], prompt = '' }: Completion): string {
   const parts = messages.map(({ role, content }) => {
     const text = typeof content === 'string' ? content : JSON.stringify(content ?? '');
--- a/packages/entry/src/lib/createScheduler.ts
+++ b/packages/entry/src/lib/createScheduler.ts
@@ -7,7 +7,7 @@
 } from '@berylwood/policy';
 import type { EntrySettings, ProcessSettings } from '@berylwood/schema';
 
-/** Creates the scheduler that the settings name. @internal */
+/** Creates the scheduler selected in the settings. @internal */
 export function createScheduler(
   settings: EntrySettings,
   process: ProcessSettings,
--- a/packages/entry/src/lib/digestBlocks.ts
+++ b/packages/entry/src/lib/digestBlocks.ts
@@ -1,15 +1,15 @@
 import { createHash } from 'node:crypto';
 import type { WorkspaceId } from '@berylwood/schema';
 
-/** Characters of a block: about 64 tokens. */
+/** Characters per block: about 64 tokens. */
 const BLOCK_CHARACTERS = 256;
 
 const MAX_BLOCKS = 32;
 const DIGEST_CHARACTERS = 16;
 
 /**
- * Digests of a prompt's whole blocks, each chained with the one before. The chain begins with the
- * workspace, so that affinity never shows one workspace what another has asked.
+ * Digests of a prompt's complete blocks, each chained to the previous one. The chain starts with the
+ * workspace, so that prefix affinity reveals nothing of the prompts of other workspaces.
  * @internal
  */
 export function digestBlocks(workspace: WorkspaceId, prompt: string): string[] {
--- a/packages/entry/src/lib/endpointHeaders.ts
+++ b/packages/entry/src/lib/endpointHeaders.ts
@@ -1,6 +1,6 @@
 import type { IncomingHttpHeaders } from 'node:http';
 
-/** Headers of a request that an endpoint may see. */
+/** Request headers that are passed to endpoints. */
 const ALLOWED_HEADERS = [
   'accept',
   'accept-language',
@@ -9,7 +9,7 @@
   'user-agent',
 ];
 
-/** Whether a text holds the secret, plainly or percent-encoded. @internal */
+/** Whether a text contains the secret, in plain or percent-encoded form. @internal */
 export function holdsSecret(text: string, secret: string): boolean {
   if (text.includes(secret)) return true;
   if (!text.includes('%')) return false;
@@ -20,7 +20,7 @@
   }
 }
 
-/** Whether a body holds the secret: plainly, percent-encoded or with JSON escapes. @internal */
+/** Whether a body contains the secret: plain, percent-encoded or with JSON escapes. @internal */
 export function bodyHoldsSecret(body: Buffer, secret: string): boolean {
   if (body.includes(secret)) return true;
   if (!body.includes('%') && !body.includes('\\u00')) return false;
@@ -32,7 +32,7 @@
   return decoded.includes(secret);
 }
 
-/** The allowed headers of a request that do not hold the secret. @internal */
+/** Selects the allowed headers of a request that do not contain the secret. @internal */
 export function endpointHeaders(
   headers: IncomingHttpHeaders,
   secret: string,
--- a/packages/entry/src/lib/findRoute.ts
+++ b/packages/entry/src/lib/findRoute.ts
@@ -1,6 +1,6 @@
 import type { Configuration, ServiceRoute } from '@berylwood/schema';
 
-/** Where a request goes. @internal */
+/** Route of a request. @internal */
 export type Route =
   | { readonly type: 'completion' }
   | { readonly type: 'models' }
--- a/packages/entry/src/lib/isTooDeep.ts
+++ b/packages/entry/src/lib/isTooDeep.ts
@@ -1,4 +1,4 @@
-/** Nesting of objects and arrays that a request may have. */
+/** Maximum nesting depth of objects and arrays in a request. */
 const MAX_DEPTH = 64;
 
 const QUOTE = '"'.charCodeAt(0);
@@ -6,7 +6,7 @@
 const OPENING = new Set([...'[{'].map((sign) => sign.charCodeAt(0)));
 const CLOSING = new Set([...']}'].map((sign) => sign.charCodeAt(0)));
 
-/** Whether a JSON text is nested beyond the limit, found without parsing it. @internal */
+/** Whether a JSON text is nested beyond the limit, checked without parsing it. @internal */
 export function isTooDeep(json: Buffer): boolean {
   let depth = 0;
   let isInString = false;
--- a/packages/entry/src/lib/pinSuspect.ts
+++ b/packages/entry/src/lib/pinSuspect.ts
@@ -2,7 +2,7 @@
 import type { Candidate, Job } from '@berylwood/policy';
 import type { EndpointId } from '@berylwood/schema';
 
-/** Open endpoints that serve a job. @internal */
+/** Open endpoints that serve the target of a job. @internal */
 export function suitableEndpoints(job: Job, candidates: readonly Candidate[]): EndpointId[] {
   return candidates
     .filter(
@@ -16,9 +16,9 @@
 }
 
 /**
- * The endpoints that a suspect must avoid: all but the first by rendezvous hashing that did not
- * fail it before. Copies of one request meet at one sidecar through whichever entry they come, and
- * the sidecar runs one suspect at a time.
+ * Returns the endpoints that a suspect must avoid: all but the first by rendezvous hashing among
+ * those it has not failed on. All entries send copies of one request to the same sidecar, which runs
+ * one suspect at a time.
  * @internal
  */
 export function pinSuspect(
--- a/packages/entry/src/lib/readBody.ts
+++ b/packages/entry/src/lib/readBody.ts
@@ -3,7 +3,7 @@
 import { requestCodes } from '@berylwood/schema';
 import { ok, type Result } from 'neverthrow';
 
-/** Reads a body up to a limit in bytes. @internal */
+/** Reads a body of at most `maxBytes` bytes. @internal */
 export async function readBody(
   request: IncomingMessage,
   maxBytes: number,
--- a/packages/entry/src/lib/sendFailure.ts
+++ b/packages/entry/src/lib/sendFailure.ts
@@ -3,7 +3,7 @@
 
 const MS_PER_S = 1000;
 
-/** An error as callers see it. */
+/** Response body of an error. */
 function errorBody(failure: Failure): Record<string, unknown> {
   return {
     error: {
@@ -15,12 +15,12 @@
   };
 }
 
-/** Answers with an error; a streamed answer that has begun ends with an error event. @internal */
+/** Responds with an error; an event stream that has started ends with an error event. @internal */
 export function sendFailure(response: ServerResponse, failure: Failure): void {
   const body = JSON.stringify(errorBody(failure));
   if (response.headersSent) {
     const isStream = String(response.getHeader('content-type')).startsWith('text/event-stream');
-    // Without an error event the caller could take a cut answer of known length for a whole one.
+    // Other responses are aborted, so that the caller does not take a truncated one as complete.
     if (isStream) response.end(`data: ${body}\n\n`);
     else response.destroy();
     return;
