--- a/packages/entry/bench/CallerPool.ts
+++ b/packages/entry/bench/CallerPool.ts
@@ -3,7 +3,7 @@
 
 const EVENT_MARK = Buffer.from('"delta"');
 
-/** What the callers have seen so far. */
+/** Totals over all callers so far. */
 export interface CallerCount {
   opened: number;
   tokens: number;
@@ -11,7 +11,7 @@
   failed: number;
 }
 
-/** Callers on bare sockets: they count tokens and parse nothing, so that they need little time. */
+/** Callers on raw sockets. They count tokens without parsing, to use little processor time. */
 export class CallerPool {
   readonly count: CallerCount = { opened: 0, tokens: 0, ended: 0, failed: 0 };
 
@@ -30,7 +30,7 @@
     return this.#sockets.size;
   }
 
-  /** Opens one stream of the given length. */
+  /** Opens one stream of the given length in tokens. */
   call(prompt: string, answerTokens: number): void {
     const { host, port } = splitAddress(this.#address);
     const socket = connect(port, host);
--- a/packages/entry/bench/entry.ts
+++ b/packages/entry/bench/entry.ts
@@ -18,7 +18,7 @@
 const ENGINES = 4;
 const IDLE_STREAMS = 10_000;
 
-/** Tokens a second of an idle stream: fewer than one between two signs of life. */
+/** Tokens per second of an idle stream: less than one per keep-alive interval. */
 const IDLE_RATE = 0.7;
 const RAMP_MS = 8000;
 const MEASURED_MS = 10_000;
@@ -75,7 +75,7 @@
   }
 }
 
-/** Opens streams evenly over a time, each of the length that its index gives. */
+/** Opens streams evenly over `overMs`; `lengthOf` gives the length of each in tokens. */
 async function openOver(
   callers: CallerPool,
   count: number,
@@ -92,7 +92,7 @@
   }
 }
 
-/** Lengths with which the streams of the ramp end evenly over one lifetime after it. */
+/** Length of a ramp stream, such that the streams end evenly over one lifetime after the ramp. */
 function rampLength(index: number): number {
   const remainingRampTokens = RATE * (RAMP_MS / 1000) * (1 - index / STREAMS);
   return remainingRampTokens + (ANSWER_TOKENS * ((index * 7919) % STREAMS)) / STREAMS;
--- a/packages/entry/src/lib/CallerServer.test.ts
+++ b/packages/entry/src/lib/CallerServer.test.ts
@@ -31,7 +31,7 @@
   return address;
 }
 
-/** Sends bytes and resolves to what came back until the server closed. */
+/** Sends raw text and resolves to all data received until the server closes the connection. */
 function sendRaw(address: string, text: string): Promise<string> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve) => {
@@ -57,7 +57,7 @@
   });
 }
 
-test('new connections get a certificate that has changed, and an unusable one is left out', async (t) => {
+test('new connections use a changed certificate, and an unusable one is ignored', async (t) => {
   const directory = mkdtempSync(join(tmpdir(), 'berylwood-tls-'));
   t.after(() => rmSync(directory, { recursive: true }));
   const authority = createAuthority(directory);
@@ -80,7 +80,7 @@
   assert.equal(await fetchSubject(address, authority.file), 'second');
 });
 
-test('requests of ambiguous length and slow headers are refused', async (t) => {
+test('requests of ambiguous length and slow headers are rejected', async (t) => {
   const address = await createServer(t);
   const head = 'POST /v1/completions HTTP/1.1\r\nhost: a\r\n';
   const both = `${head}content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n`;
@@ -94,7 +94,7 @@
   assert.ok(new SystemTimer().now() - startedAt < 3000);
 });
 
-test('closing waits for an answer under way, then closes its kept connection', async (t) => {
+test('closing waits for a response in progress, then closes its persistent connection', async (t) => {
   let finish = (): void => {};
   const server = new CallerServer(createSettings(), {
     serve: async (_, response) => {
--- a/packages/entry/src/lib/Recovery.test.ts
+++ b/packages/entry/src/lib/Recovery.test.ts
@@ -21,7 +21,7 @@
   return exchange;
 }
 
-test('only what may be repeated, or is proved not to have run, goes on', () => {
+test('only requests that are idempotent, or are proved not to have run, are retried', () => {
   const recovery = new Recovery(new Random(1));
   const typeOf = (idempotent: boolean, ...events: ExchangeEvent[]): string =>
     recovery.decide(createExchange(idempotent, ...events), ATTEMPT_FAILURE, 0).type;
@@ -32,7 +32,7 @@
   assert.equal(typeOf(false, 'dispatch', 'refused'), 'retry');
 });
 
-test('nothing goes on after its time, and retries end with their budget', () => {
+test('no request is retried after it has expired or once the retry budget is used up', () => {
   const recovery = new Recovery(new Random(1));
   const late = recovery.decide(createExchange(true, 'dispatch', 'broken'), ATTEMPT_FAILURE, 10_000);
   assert.equal(late.type, 'fail');
@@ -42,7 +42,7 @@
   assert.equal(remedies.filter(({ type }) => type === 'retry').length, 50);
 });
 
-test('a request that waits again after it ran is not told that it has not run', () => {
+test('a request that waits again after an attempt ran is not reported as not run', () => {
   const exchange = createExchange(true, 'dispatch', 'broken');
   exchange.retry(exchange.order);
   assert.equal(exchange.lifecycle.state, 'waiting');
--- a/packages/entry/src/lib/exchangeMachine.test.ts
+++ b/packages/entry/src/lib/exchangeMachine.test.ts
@@ -3,15 +3,15 @@
 import test from 'node:test';
 import { exchangeTable } from './exchangeMachine';
 
-/** States in which nothing was handed to a sidecar, or its sidecar has proved that it never ran. */
+/** States in which no attempt was sent, or the sidecar has proved that it did not run. */
 const NOT_RUN_STATES = ['waiting', 'claiming', 'deferred'];
 
-test('"not run" is said only from states where it is proved', () => {
+test('"not run" is reported only in states where it is proved', () => {
   const notRunStates = exchangeTable.states.filter(({ note }) => note.notRun === true);
   assert.deepEqual(notRunStates.map(({ name }) => name).sort(), [...NOT_RUN_STATES].sort());
 });
 
-test('no state after an attempt has run leads back to a proof without a retry', () => {
+test('after an attempt has run, only a retry leads to a state that reports "not run"', () => {
   const ran = exchangeTable.states.filter(({ note }) => note.notRun === false);
   for (const { name, next } of ran) {
     for (const [event, target] of next) {
@@ -21,7 +21,7 @@
   }
 });
 
-test('the page on attempts shows the machines as they are', () => {
+test('the page on attempts matches the state machines', () => {
   const args = ['--import', 'tsx', 'scripts/machines.ts', '--check'];
   const { status, stderr } = spawnSync(process.execPath, args, { encoding: 'utf8' });
   assert.equal(status, 0, stderr);
--- a/packages/entry/src/process/claims.process.test.ts
+++ b/packages/entry/src/process/claims.process.test.ts
@@ -27,42 +27,50 @@
   return counts.reduce((sum, count) => sum + count, 0);
 }
 
-test('a call with a key runs once over resends through both entries', TEST_TIMEOUT, async (t) => {
-  const fixture = await createOrderServices(t, 20);
-  const copies = [1, 2, 1, 2, 1, 2].map((entry) => placeOrder(fixture, 'k1', 'order 1', entry));
-  const statuses = (await Promise.all(copies)).map(({ status }) => status);
-  assert.ok(statuses.includes(200), String(statuses));
-  assert.ok(
-    statuses.every((status) => status === 200 || status === 409),
-    String(statuses),
-  );
-  // The answer may reach its caller before the outcome is stored.
-  await until('the outcome is stored', async () => {
-    const resent = await placeOrder(fixture, 'k1', 'order 1', 2);
-    if (resent.status === 409) assert.equal(resent.body.error?.type, 'claimRunning');
-    return resent.status === 200 && resent.replayed && resent.body.runs === 1;
-  });
-  const other = await placeOrder(fixture, 'k1', 'order 2');
-  assert.deepEqual([other.status, other.body.error?.type], [409, 'claimConflict']);
-  const bare = await placeOrder(fixture, undefined, 'order 3');
-  assert.deepEqual([bare.status, bare.body.error?.not_run], [400, true]);
-  assert.equal(await countCalls(fixture), 1);
-});
+test(
+  'a call with an idempotency key runs once when it is resent through both entries',
+  TEST_TIMEOUT,
+  async (t) => {
+    const fixture = await createOrderServices(t, 20);
+    const copies = [1, 2, 1, 2, 1, 2].map((entry) => placeOrder(fixture, 'k1', 'order 1', entry));
+    const statuses = (await Promise.all(copies)).map(({ status }) => status);
+    assert.ok(statuses.includes(200), String(statuses));
+    assert.ok(
+      statuses.every((status) => status === 200 || status === 409),
+      String(statuses),
+    );
+    // The response can reach the caller before the outcome is stored.
+    await until('the outcome is stored', async () => {
+      const resent = await placeOrder(fixture, 'k1', 'order 1', 2);
+      if (resent.status === 409) assert.equal(resent.body.error?.type, 'claimRunning');
+      return resent.status === 200 && resent.replayed && resent.body.runs === 1;
+    });
+    const other = await placeOrder(fixture, 'k1', 'order 2');
+    assert.deepEqual([other.status, other.body.error?.type], [409, 'claimConflict']);
+    const bare = await placeOrder(fixture, undefined, 'order 3');
+    assert.deepEqual([bare.status, bare.body.error?.not_run], [400, true]);
+    assert.equal(await countCalls(fixture), 1);
+  },
+);
 
-test('a call outlives its entry, and a resend gets its stored outcome', TEST_TIMEOUT, async (t) => {
-  const fixture = await createOrderServices(t, CALL_MS);
-  const cut = placeOrder(fixture, 'k2', 'order 1', 1).catch(() => undefined);
-  await until('it runs', async () => (await countCalls(fixture)) === 1);
-  await fixture.deployment.process('entry-1').kill();
-  await cut;
-  const running = await placeOrder(fixture, 'k2', 'order 1', 2);
-  assert.deepEqual([running.status, running.body.error?.type], [409, 'claimRunning']);
-  await until('its outcome is stored', async () => {
-    const { status, replayed } = await placeOrder(fixture, 'k2', 'order 1', 2);
-    return status === 200 && replayed;
-  });
-  assert.equal(await countCalls(fixture), 1);
-});
+test(
+  'a call completes after its entry was killed, and a resend gets the stored outcome',
+  TEST_TIMEOUT,
+  async (t) => {
+    const fixture = await createOrderServices(t, CALL_MS);
+    const cut = placeOrder(fixture, 'k2', 'order 1', 1).catch(() => undefined);
+    await until('it runs', async () => (await countCalls(fixture)) === 1);
+    await fixture.deployment.process('entry-1').kill();
+    await cut;
+    const running = await placeOrder(fixture, 'k2', 'order 1', 2);
+    assert.deepEqual([running.status, running.body.error?.type], [409, 'claimRunning']);
+    await until('its outcome is stored', async () => {
+      const { status, replayed } = await placeOrder(fixture, 'k2', 'order 1', 2);
+      return status === 200 && replayed;
+    });
+    assert.equal(await countCalls(fixture), 1);
+  },
+);
 
 test(
   'a call whose sidecar is killed has an unknown outcome and is not run again',
@@ -88,15 +96,19 @@
   },
 );
 
-test('a call that no sidecar took goes elsewhere and still runs once', TEST_TIMEOUT, async (t) => {
-  const fixture = await createOrderServices(t, 5);
-  await fixture.deployment.process('service-1').kill();
-  const orders = Array.from({ length: 6 }, (_, index) =>
-    placeOrder(fixture, `k4-${index}`, `order ${index}`, 1 + (index % 2)),
-  );
-  for (const { status, body } of await Promise.all(orders)) {
-    assert.equal(status, 200, JSON.stringify(body));
-    assert.equal(body.runs, 1);
-  }
-  assert.equal(await countRecords(fixture, 'service-2', 'call'), 6);
-});
+test(
+  'a call that no sidecar accepted is retried on another endpoint and runs once',
+  TEST_TIMEOUT,
+  async (t) => {
+    const fixture = await createOrderServices(t, 5);
+    await fixture.deployment.process('service-1').kill();
+    const orders = Array.from({ length: 6 }, (_, index) =>
+      placeOrder(fixture, `k4-${index}`, `order ${index}`, 1 + (index % 2)),
+    );
+    for (const { status, body } of await Promise.all(orders)) {
+      assert.equal(status, 200, JSON.stringify(body));
+      assert.equal(body.runs, 1);
+    }
+    assert.equal(await countRecords(fixture, 'service-2', 'call'), 6);
+  },
+);
--- a/packages/entry/src/process/fixtures.ts
+++ b/packages/entry/src/process/fixtures.ts
@@ -31,7 +31,7 @@
 plan = "standard"
 `;
 
-/** Longest time of a test with real processes: one that hangs has failed. */
+/** Timeout of a test with real processes, so that a test that hangs fails. */
 export const TEST_TIMEOUT = { timeout: 90_000 };
 
 const WORKSPACE = 'thapathali-traps';
@@ -57,7 +57,7 @@
   return { name, kind: 'service', dataCentre: 'naas', service: 'dispatch' };
 }
 
-/** Starts a deployment of real processes, closed after the test, and gives a workspace a key. */
+/** Starts a deployment of real processes with a key for a workspace, and closes it after the test. */
 export async function createDeployment(
   t: TestContext,
   plan: Partial<DeploymentPlan>,
@@ -87,7 +87,7 @@
   return callCompletion({ url, secret, model: 'crew-8b', prompt, stream: true, answerTokens });
 }
 
-/** The text that a whole answer must have. */
+/** Expected text of a complete response. */
 export function completeText(prompt: string, answerTokens: number): string {
   return expectedAnswer(`user: ${prompt}`, answerTokens);
 }
@@ -98,7 +98,7 @@
   readonly body: { readonly runs?: number; readonly error?: { type: string; not_run: unknown } };
 }
 
-/** Calls the service that may not be repeated. */
+/** Calls the service whose route is not idempotent. */
 export async function placeOrder(
   { deployment, secret }: ProcessFixture,
   idempotencyKey: string | undefined,
--- a/packages/entry/src/process/frozen.process.test.ts
+++ b/packages/entry/src/process/frozen.process.test.ts
@@ -13,7 +13,7 @@
 } from './fixtures';
 
 test(
-  'requests whose sidecar is frozen or killed before an answer go elsewhere',
+  'requests whose sidecar is frozen or killed before a response are retried on another endpoint',
   TEST_TIMEOUT,
   async (t) => {
     const fixture = await createDeployment(t, { endpoints: createEngines(3) });
@@ -34,7 +34,7 @@
 );
 
 test(
-  'a call whose sidecar is frozen is not told "not run" and runs once at most',
+  'a call whose sidecar is frozen is not reported as "not run" and runs at most once',
   TEST_TIMEOUT,
   async (t) => {
     const endpoints = [createService('service-1')];
--- a/packages/entry/src/process/keys.process.test.ts
+++ b/packages/entry/src/process/keys.process.test.ts
@@ -12,7 +12,7 @@
 } from './fixtures';
 
 test(
-  'a withdrawn key ends streams, refuses what waits and lets calls complete',
+  'a withdrawn key ends streams, rejects waiting requests and lets calls complete',
   TEST_TIMEOUT,
   async (t) => {
     const fixture = await createDeployment(t, {
@@ -38,7 +38,7 @@
     assert.equal((await stream(fixture, 'later', 10)).status, 401);
     assert.equal((await call).status, 200);
     await until(
-      'the engine was told',
+      'the engine received the cancellation',
       async () => (await countRecords(fixture, 'engine-1', 'cancel')) > 0,
     );
   },
--- a/packages/entry/src/process/links.process.test.ts
+++ b/packages/entry/src/process/links.process.test.ts
@@ -6,7 +6,7 @@
 const TOKENS = 160;
 
 test(
-  'answers survive resets, silence and delay between entry and sidecar',
+  'responses survive resets, stalls and delays of the link between entry and sidecar',
   TEST_TIMEOUT,
   async (t) => {
     const fixture = await createDeployment(t, { relays: true });
@@ -18,7 +18,7 @@
       async () => (await countRecords(fixture, 'engine-1', 'run')) === prompts.length,
     );
     relay.reset();
-    await until('the entry is back', () => relay.openCount > 0);
+    await until('the entry is connected again', () => relay.openCount > 0);
     relay.delay(30);
     relay.forget();
     for (const [index, reply] of (await Promise.all(replies)).entries()) {
@@ -31,7 +31,7 @@
 );
 
 test(
-  'a stream of the engine that falls silent is resumed without loss or repetition',
+  'a stalled stream of an engine is resumed without loss or repetition',
   TEST_TIMEOUT,
   async (t) => {
     const fixture = await createDeployment(t, { relays: true });
--- a/packages/entry/src/process/poison.process.test.ts
+++ b/packages/entry/src/process/poison.process.test.ts
@@ -40,7 +40,7 @@
     );
     assert.equal(alive.length, ENGINES - 2);
     for (const reply of await Promise.all(neighbours)) {
-      // An answer that had begun when its engine crashed ends with a stated error.
+      // A response that had started when its engine crashed ends with an error.
       assert.ok(reply.isWhole || reply.error?.type === 'endpointFailed', JSON.stringify(reply));
     }
     for (let index = 0; index < 4; index += 1) {
--- a/packages/entry/src/process/security.process.test.ts
+++ b/packages/entry/src/process/security.process.test.ts
@@ -32,30 +32,34 @@
   });
 }
 
-test('processes talk by mutual TLS, and a stranger is refused', TEST_TIMEOUT, async (t) => {
-  const directory = mkdtempSync(join(tmpdir(), 'berylwood-tls-'));
-  t.after(() => rmSync(directory, { recursive: true }));
-  const fixture = await createDeployment(t, { extra: { process: createTls(directory) } });
-  const reply = await stream(fixture, 'over TLS', 20);
-  assert.equal(reply.text, completeText('over TLS', 20));
-  const address = `${fixture.deployment.host}:${SIDECAR_PORT}/entry`;
-  const stranger = createAuthority(directory, 'stranger').sign('stranger-peer');
-  const identity = {
-    cert: readFileSync(stranger.certificate),
-    key: readFileSync(stranger.key),
-  };
-  assert.equal(await tryLink(`ws://${address}`, {}), 'refused');
-  assert.equal(await tryLink(`wss://${address}`, {}), 'refused');
-  assert.equal(await tryLink(`wss://${address}`, identity), 'refused');
-  const own = {
-    cert: readFileSync(join(directory, 'peer.pem')),
-    key: readFileSync(join(directory, 'peer.key')),
-  };
-  assert.equal(await tryLink(`wss://${address}`, own), 'served');
-});
+test(
+  'processes communicate over mutual TLS, and an unknown peer is rejected',
+  TEST_TIMEOUT,
+  async (t) => {
+    const directory = mkdtempSync(join(tmpdir(), 'berylwood-tls-'));
+    t.after(() => rmSync(directory, { recursive: true }));
+    const fixture = await createDeployment(t, { extra: { process: createTls(directory) } });
+    const reply = await stream(fixture, 'over TLS', 20);
+    assert.equal(reply.text, completeText('over TLS', 20));
+    const address = `${fixture.deployment.host}:${SIDECAR_PORT}/entry`;
+    const stranger = createAuthority(directory, 'stranger').sign('stranger-peer');
+    const identity = {
+      cert: readFileSync(stranger.certificate),
+      key: readFileSync(stranger.key),
+    };
+    assert.equal(await tryLink(`ws://${address}`, {}), 'refused');
+    assert.equal(await tryLink(`wss://${address}`, {}), 'refused');
+    assert.equal(await tryLink(`wss://${address}`, identity), 'refused');
+    const own = {
+      cert: readFileSync(join(directory, 'peer.pem')),
+      key: readFileSync(join(directory, 'peer.key')),
+    };
+    assert.equal(await tryLink(`wss://${address}`, own), 'served');
+  },
+);
 
 test(
-  'keys reach no log and no endpoint, and refused keys are limited apart from good ones',
+  'keys appear in no log and at no endpoint, and only rejected keys are rate limited',
   TEST_TIMEOUT,
   async (t) => {
     const fixture = await createDeployment(t, {});
--- a/packages/entry/src/process/stops.process.test.ts
+++ b/packages/entry/src/process/stops.process.test.ts
@@ -10,7 +10,7 @@
   type ProcessFixture,
 } from './fixtures';
 
-/** Callers that send one request after another over the ready entries until told to end. */
+/** Callers that send requests one after another through the ready entries until `end` is called. */
 class Callers {
   readonly faults: string[] = [];
 
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Chooses as a balancer does: an entry that says it is ready. */
+  /** Selects an entry that reports ready, as a load balancer does. */
   async #readyEntry({ deployment }: ProcessFixture, index: number): Promise<number> {
     for (const number of index % 2 === 0 ? [1, 2] : [2, 1]) {
       const isReady = await fetch(`${deployment.entryUrl(number)}/readyz`).then(
@@ -56,23 +56,27 @@
   }
 }
 
-test('planned stops of entries and sidecars cut and refuse nothing', TEST_TIMEOUT, async (t) => {
-  const fixture = await createDeployment(t, {
-    entries: 2,
-    endpoints: createEngines(3),
-  });
-  const { deployment } = fixture;
-  const callers = new Callers(fixture, 8);
-  for (const name of ['sidecar-engine-1', 'entry-1', 'sidecar-engine-2', 'entry-2']) {
-    const seen = callers.count;
-    await until('requests pass', () => callers.count > seen + 8);
-    const exit = await deployment.process(name).stop();
-    assert.equal(exit?.code, 0, name);
-    deployment.process(name).start();
-    if (!name.startsWith('entry')) continue;
-    const url = deployment.entryUrl(Number(name.at(-1)));
-    await until(`${name} is ready`, async () => (await fetch(`${url}/readyz`)).ok);
-  }
-  await callers.end();
-  assert.deepEqual(callers.faults, []);
-});
+test(
+  'planned stops of entries and sidecars interrupt and reject no request',
+  TEST_TIMEOUT,
+  async (t) => {
+    const fixture = await createDeployment(t, {
+      entries: 2,
+      endpoints: createEngines(3),
+    });
+    const { deployment } = fixture;
+    const callers = new Callers(fixture, 8);
+    for (const name of ['sidecar-engine-1', 'entry-1', 'sidecar-engine-2', 'entry-2']) {
+      const seen = callers.count;
+      await until('requests pass', () => callers.count > seen + 8);
+      const exit = await deployment.process(name).stop();
+      assert.equal(exit?.code, 0, name);
+      deployment.process(name).start();
+      if (!name.startsWith('entry')) continue;
+      const url = deployment.entryUrl(Number(name.at(-1)));
+      await until(`${name} is ready`, async () => (await fetch(`${url}/readyz`)).ok);
+    }
+    await callers.end();
+    assert.deepEqual(callers.faults, []);
+  },
+);
