--- a/packages/entry/src/lib/Exchange.ts
+++ b/packages/entry/src/lib/Exchange.ts
@@ -270,8 +270,8 @@
     const { notRun = true, crashed = false } = message.type === 'failed' ? message : {};
     const events = { true: 'refused', unknown: 'lost', false: 'broken' } as const;
     // Once its response has started, the attempt has run, whatever the sidecar reports now.
-    const isAccepted = this.send(events[`${notRun}`]) || this.send('broken');
-    if (!isAccepted) return;
+    const isApplied = this.send(events[`${notRun}`]) || this.send('broken');
+    if (!isApplied) return;
     this.#release();
     const code = findCode(message.code) ?? requestCodes.endpointFailed;
     this.onAttemptFailed({ failure: new Failure(code, message.message), crashed });
--- a/packages/entry/src/lib/exchangeMachine.ts
+++ b/packages/entry/src/lib/exchangeMachine.ts
@@ -34,7 +34,7 @@
 const ran: ExchangeNote = { notRun: false };
 const unknown: ExchangeNote = { notRun: 'unknown' };
 
-/** Time to wait for a new link before a request without a response is retried elsewhere. */
+/** Time to wait for a new link before an attempt without a response counts as lost. */
 const DETACHED_TIMEOUT_MS = 4000;
 
 /** Time to wait for a new link during a response, which cannot continue on another endpoint. */
