--- a/packages/entry/src/lib/CallerServer.test.ts
+++ b/packages/entry/src/lib/CallerServer.test.ts
@@ -31,8 +31,8 @@
   return address;
 }
 
-/** Sends bytes and resolves to what came back until the server closed. */
-function exchange(address: string, text: string): Promise<string> {
+/** Sends raw text and resolves to all data received until the server closes the connection. */
+function sendRaw(address: string, text: string): Promise<string> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve) => {
     const socket = connect(port, host, () => socket.write(text));
@@ -57,22 +57,22 @@
   });
 }
 
-test('new connections get a certificate that has changed, and an unusable one is left out', async (t) => {
-  const folder = mkdtempSync(join(tmpdir(), 'berylwood-tls-'));
-  t.after(() => rmSync(folder, { recursive: true }));
-  const authority = createAuthority(folder);
+test('new connections use a changed certificate, and an unusable one is ignored', async (t) => {
+  const directory = mkdtempSync(join(tmpdir(), 'berylwood-tls-'));
+  t.after(() => rmSync(directory, { recursive: true }));
+  const authority = createAuthority(directory);
   const [first, second] = [authority.sign('first'), authority.sign('second')];
-  const files = { certificate: join(folder, 'used.pem'), key: join(folder, 'used.key') };
-  const use = ({ certificate, key }: typeof first): void => {
+  const files = { certificate: join(directory, 'used.pem'), key: join(directory, 'used.key') };
+  const install = ({ certificate, key }: typeof first): void => {
     copyFileSync(certificate, files.certificate);
     copyFileSync(key, files.key);
   };
-  use(first);
+  install(first);
   const timer = new VirtualTimer();
   const watch = new CertificateWatch(files, timer, createSilentJournal(timer));
   const address = await createServer(t, watch);
   assert.equal(await fetchSubject(address, authority.file), 'first');
-  use(second);
+  install(second);
   timer.advance(2000);
   assert.equal(await fetchSubject(address, authority.file), 'second');
   writeFileSync(files.certificate, 'broken');
@@ -80,21 +80,21 @@
   assert.equal(await fetchSubject(address, authority.file), 'second');
 });
 
-test('requests of ambiguous length and slow headers are refused', async (t) => {
+test('requests of ambiguous length and slow headers are rejected', async (t) => {
   const address = await createServer(t);
   const head = 'POST /v1/completions HTTP/1.1\r\nhost: a\r\n';
   const both = `${head}content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n`;
   const twice = `${head}content-length: 3\r\ncontent-length: 4\r\n\r\nabcd`;
   const folded = `${head}content-length : 3\r\n\r\nabc`;
   for (const text of [both, twice, folded]) {
-    assert.match(await exchange(address, text), /^HTTP\/1\.1 400 /);
+    assert.match(await sendRaw(address, text), /^HTTP\/1\.1 400 /);
   }
   const startedAt = new SystemTimer().now();
-  assert.match(await exchange(address, head), /^HTTP\/1\.1 408 /);
+  assert.match(await sendRaw(address, head), /^HTTP\/1\.1 408 /);
   assert.ok(new SystemTimer().now() - startedAt < 3000);
 });
 
-test('closing waits for an answer under way, then closes its kept connection', async (t) => {
+test('closing waits for a response in progress, then closes its persistent connection', async (t) => {
   let finish = (): void => {};
   const server = new CallerServer(createSettings(), {
     serve: async (_, response) => {
--- a/packages/entry/src/lib/ClaimClient.ts
+++ b/packages/entry/src/lib/ClaimClient.ts
@@ -11,15 +11,19 @@
 import type { Exchange } from './Exchange';
 
 const CLAIM_TIMEOUT_MS = 3000;
-/** Time in which the sidecar's own word on the outcome goes first, in milliseconds. */
-const UNKNOWN_DELAY_MS = 20_000;
+/** Time in which the sidecar can store its outcome before the entry stores `unknown`. */
+const UNKNOWN_SETTLE_DELAY_MS = 20_000;
 
-const SETTLE_RETRY_MS = 500;
+const SETTLE_RETRY_INTERVAL_MS = 500;
 
-/** Tries to store an outcome; a claim that stays unsettled is answered as running. */
-const SETTLE_TRIES = 60;
+/** Maximum attempts to store an outcome. Resends of an unsettled claim fail as running. */
+const MAX_SETTLE_ATTEMPTS = 60;
 
-/** Claims requests that may not be repeated, and stores outcomes that only the entry knows. @internal */
+/**
+ * Claims requests that must not be repeated, and stores the outcomes of those that did not run or
+ * whose outcome is unknown.
+ * @internal
+ */
 export class ClaimClient {
   readonly #subscription: Pick<Subscription, 'call'>;
 
@@ -30,7 +34,7 @@
     this.#timer = timer;
   }
 
-  /** Asks for the one attempt that the key allows. */
+  /** Requests the single attempt that the idempotency key allows. */
   async claim(exchange: Exchange, endpoint: EndpointId): Promise<Result<ClaimAnswer, Failure>> {
     const { order, attempt } = exchange;
     const answer = await this.#subscription.call<unknown>(
@@ -57,18 +61,18 @@
     this.#settle(exchange, 'notRun', requestCodes.claimSpent.status).catch(() => {});
   }
 
-  /** Stores what the entry knows of a failed request; the sidecar stores what has run. */
+  /** Stores the outcome of a failed request, unless it has run: then the sidecar stores it. */
   settleFailure(exchange: Exchange, failure: Failure): void {
     if (failure.notRun === true) this.settleNotRun(exchange);
     if (failure.notRun !== 'unknown') return;
-    this.#timer.after(UNKNOWN_DELAY_MS, () => {
+    this.#timer.after(UNKNOWN_SETTLE_DELAY_MS, () => {
       this.#settle(exchange, 'unknown', failure.code.status).catch(() => {});
     });
   }
 
   async #settle(exchange: Exchange, outcome: 'notRun' | 'unknown', status: number): Promise<void> {
     const { order } = exchange;
-    for (let tries = 0; tries < SETTLE_TRIES; tries += 1) {
+    for (let tries = 0; tries < MAX_SETTLE_ATTEMPTS; tries += 1) {
       const answer = await this.#subscription.call({
         type: 'settle',
         workspace: order.job.workspace,
@@ -80,7 +84,7 @@
         body: new Uint8Array(),
       });
       if (answer.isOk()) return;
-      await this.#timer.sleep(SETTLE_RETRY_MS);
+      await this.#timer.sleep(SETTLE_RETRY_INTERVAL_MS);
     }
   }
 }
--- a/packages/entry/src/lib/EndpointTable.ts
+++ b/packages/entry/src/lib/EndpointTable.ts
@@ -9,7 +9,7 @@
   type Member,
   type SidecarMessage,
 } from '@berylwood/schema';
-import type { Place } from './Exchange';
+import type { EndpointConnection } from './Exchange';
 
 /** A link to a sidecar. @internal */
 export type SidecarLink = Link<EntryMessage, SidecarMessage>;
@@ -24,31 +24,32 @@
 interface Row {
   member: Member;
   readonly dialer: Dialer<EntryMessage, SidecarMessage>;
-  /** Incarnation that the sidecar itself has told over the open link. */
+  /** Incarnation that the sidecar has reported over the open link. */
   incarnation: IncarnationId | undefined;
   isLeaving: boolean;
   isDown: boolean;
-  /** An answer was missed over the link; nothing new is sent over it until a message has come. */
+  /** The sidecar did not reply in time. It gets no new work until it sends a message. */
   isSuspect: boolean;
   isListed: boolean;
 }
 
-/** Time that an endpoint missing from the list keeps its row without a link, in milliseconds. */
-const UNLISTED_KEEP_MS = 10_000;
+/** Time for which an unlisted endpoint without a link keeps its row, in milliseconds. */
+const UNLISTED_RETENTION_MS = 10_000;
 
 /**
- * The endpoints an entry knows, each with a kept link to its sidecar. The list lags, so a row whose
- * link is open stays while the list lacks it, and "leaving" from any source wins.
+ * The endpoints of an entry, each with a persistent link to its sidecar. The list can lag behind,
+ * so an unlisted endpoint keeps its row while its link is open. An endpoint counts as leaving as
+ * soon as either the list or its sidecar reports it.
  * @internal
  */
 export class EndpointTable implements Disposable {
   onMessage: (endpoint: EndpointId, message: SidecarMessage) => void = () => {};
 
-  /** Called when a link has opened or closed, or a member has changed. */
+  /** Called when a link, a member or the state of an endpoint has changed. */
   onChange: () => void = () => {};
 
-  /** Called when a sidecar has told its incarnation over a new link. */
-  onPlace: (place: Place) => void = () => {};
+  /** Called when a sidecar has reported its incarnation over a new link. */
+  onConnected: (connection: EndpointConnection) => void = () => {};
 
   onLinkLost: (endpoint: EndpointId, link: SidecarLink) => void = () => {};
 
@@ -72,15 +73,15 @@
     }));
   }
 
-  /** Where an attempt may be sent; undefined while the endpoint takes none. */
-  placeOf(endpoint: EndpointId): Place | undefined {
+  /** Connection for a new attempt; undefined while the endpoint accepts none. */
+  connectionTo(endpoint: EndpointId): EndpointConnection | undefined {
     const row = this.#rows.get(endpoint);
     const { link } = row?.dialer ?? {};
     if (!row?.incarnation || !link || !isOpen(row)) return undefined;
     return { endpoint, incarnation: row.incarnation, link };
   }
 
-  /** An answer was missed over the endpoint's link. */
+  /** Marks an endpoint whose sidecar did not reply in time. */
   suspect(endpoint: EndpointId): void {
     const row = this.#rows.get(endpoint);
     if (!row || row.isSuspect) return;
@@ -88,13 +89,13 @@
     this.onChange();
   }
 
-  /** Takes in the members as the control group knows them. */
+  /** Applies the members that the control group reports. */
   update(members: ReadonlyMap<EndpointId, Member>): void {
     for (const [endpoint, row] of this.#rows) {
       row.isListed = members.has(endpoint);
       if (!row.isListed && !row.dialer.link) this.#removeLater(endpoint);
     }
-    for (const member of members.values()) this.#set(member);
+    for (const member of members.values()) this.#addOrUpdate(member);
     this.onChange();
   }
 
@@ -105,7 +106,7 @@
 
   #removeLater(endpoint: EndpointId): void {
     const row = this.#rows.get(endpoint);
-    this.#options.timer.after(UNLISTED_KEEP_MS, () => {
+    this.#options.timer.after(UNLISTED_RETENTION_MS, () => {
       if (!row || row.isListed || row.dialer.link || this.#rows.get(endpoint) !== row) return;
       row.dialer[Symbol.dispose]();
       this.#rows.delete(endpoint);
@@ -113,12 +114,12 @@
     });
   }
 
-  #set(member: Member): void {
+  #addOrUpdate(member: Member): void {
     const row = this.#rows.get(member.endpoint);
     if (row?.member.address === member.address) {
-      const isNewer = row.member.incarnation !== member.incarnation;
+      const isNewIncarnation = row.member.incarnation !== member.incarnation;
       row.member = member;
-      row.isLeaving ||= member.state === 'leaving' && !isNewer;
+      row.isLeaving ||= member.state === 'leaving' && !isNewIncarnation;
       return;
     }
     row?.dialer[Symbol.dispose]();
@@ -143,13 +144,13 @@
     });
     dialer.onLink = (link) => {
       link.onMessage = (message) => this.#receive(endpoint, link, message);
-      link.onClose = () => this.#closed(endpoint, link);
+      link.onClose = () => this.#linkClosed(endpoint, link);
     };
     dialer.open();
     return dialer;
   }
 
-  #closed(endpoint: EndpointId, link: SidecarLink): void {
+  #linkClosed(endpoint: EndpointId, link: SidecarLink): void {
     const row = this.#rows.get(endpoint);
     if (row) row.incarnation = undefined;
     this.onLinkLost(endpoint, link);
@@ -164,27 +165,31 @@
       row.isSuspect = false;
       this.onChange();
     }
-    if (message.type === 'hello') this.#greeted(row, link, message);
+    if (message.type === 'hello') this.#helloReceived(row, link, message);
     else {
-      if (message.type === 'load') this.#loaded(row, message);
+      if (message.type === 'load') this.#loadReceived(row, message);
       this.onMessage(endpoint, message);
     }
   }
 
-  #greeted(row: Row, link: SidecarLink, hello: Extract<SidecarMessage, { type: 'hello' }>): void {
+  #helloReceived(
+    row: Row,
+    link: SidecarLink,
+    hello: Extract<SidecarMessage, { type: 'hello' }>,
+  ): void {
     const { endpoint } = row.member;
-    // Another endpoint may have taken over the address.
+    // Another endpoint may use the address now.
     if (hello.endpoint !== endpoint) {
       link[Symbol.dispose]();
       return;
     }
     row.incarnation = hello.incarnation;
     row.isLeaving = false;
-    this.onPlace({ endpoint, incarnation: hello.incarnation, link });
+    this.onConnected({ endpoint, incarnation: hello.incarnation, link });
     this.onChange();
   }
 
-  #loaded(row: Row, { load }: Extract<SidecarMessage, { type: 'load' }>): void {
+  #loadReceived(row: Row, { load }: Extract<SidecarMessage, { type: 'load' }>): void {
     const isDown = load.down ?? false;
     const isLeaving = load.leaving || row.isLeaving;
     if (isLeaving === row.isLeaving && isDown === row.isDown) return;
@@ -196,6 +201,6 @@
 
 function isOpen({ dialer, incarnation, member, isLeaving, isDown, isSuspect }: Row): boolean {
   if (!dialer.link || !incarnation || isLeaving || isDown || isSuspect) return false;
-  // An old member's state says nothing about a new incarnation.
+  // The listed state of an old incarnation does not apply to a new one.
   return member.state === 'live' || member.incarnation !== incarnation;
 }
--- a/packages/entry/src/lib/FailureLimiter.ts
+++ b/packages/entry/src/lib/FailureLimiter.ts
@@ -1,13 +1,13 @@
 import type { Timer } from '@berylwood/base';
 
-/** Refused keys that one address may send at once. */
-const BURST = 20;
+/** Maximum burst of rejected keys from one address. */
+const FAILURE_BURST = 20;
 
-/** Further refused keys a second. */
-const RATE = 1;
+/** Rate at which the burst of an address refills, in rejected keys per second. */
+const FAILURES_PER_S = 1;
 
-/** Addresses remembered; the oldest is forgotten first. */
-const CAPACITY = 10_000;
+/** Maximum number of tracked addresses; the least recently used is evicted first. */
+const MAX_ADDRESSES = 10_000;
 
 const MS_PER_S = 1000;
 
@@ -17,8 +17,8 @@
 }
 
 /**
- * Limits how fast one address may try keys. Only refused keys count and only they are limited, as
- * many callers may share one address.
+ * Limits the rate at which one address may try keys. Only rejected keys are counted and limited,
+ * because many callers may share one address.
  * @internal
  */
 export class FailureLimiter {
@@ -30,17 +30,17 @@
     this.#timer = timer;
   }
 
-  /** Counts a refused key; false when the address is over its limit. */
-  count(address: string): boolean {
+  /** Counts a rejected key; returns false if the address exceeds its limit. */
+  recordFailure(address: string): boolean {
     const now = this.#timer.now();
-    const bucket = this.#buckets.get(address) ?? { tokens: BURST, at: now };
-    const refill = ((now - bucket.at) / MS_PER_S) * RATE;
-    bucket.tokens = Math.min(BURST, bucket.tokens + refill);
+    const bucket = this.#buckets.get(address) ?? { tokens: FAILURE_BURST, at: now };
+    const refill = ((now - bucket.at) / MS_PER_S) * FAILURES_PER_S;
+    bucket.tokens = Math.min(FAILURE_BURST, bucket.tokens + refill);
     bucket.at = now;
     this.#buckets.delete(address);
     this.#buckets.set(address, bucket);
     const [oldest] = this.#buckets.keys();
-    if (this.#buckets.size > CAPACITY && oldest) this.#buckets.delete(oldest);
+    if (this.#buckets.size > MAX_ADDRESSES && oldest) this.#buckets.delete(oldest);
     if (bucket.tokens < 1) return false;
     bucket.tokens -= 1;
     return true;
--- a/packages/entry/src/lib/Recovery.test.ts
+++ b/packages/entry/src/lib/Recovery.test.ts
@@ -8,7 +8,10 @@
 import type { ExchangeEvent } from './exchangeMachine';
 import { Recovery } from './Recovery';
 
-const SETBACK = { failure: new Failure(requestCodes.endpointFailed, 'broken'), crashed: false };
+const ATTEMPT_FAILURE = {
+  failure: new Failure(requestCodes.endpointFailed, 'broken'),
+  crashed: false,
+};
 
 function createExchange(idempotent: boolean, ...events: ExchangeEvent[]): Exchange {
   const order = { idempotent, job: { expiresAt: 10_000, isSuspect: false } } as unknown as Order;
@@ -18,10 +21,10 @@
   return exchange;
 }
 
-test('only what may be repeated, or is proved not to have run, goes on', () => {
+test('only requests that are idempotent, or are proved not to have run, are retried', () => {
   const recovery = new Recovery(new Random(1));
   const typeOf = (idempotent: boolean, ...events: ExchangeEvent[]): string =>
-    recovery.decide(createExchange(idempotent, ...events), SETBACK, 0).type;
+    recovery.decide(createExchange(idempotent, ...events), ATTEMPT_FAILURE, 0).type;
   assert.equal(typeOf(true, 'dispatch', 'broken'), 'retry');
   assert.equal(typeOf(true, 'dispatch', 'lost'), 'retry');
   assert.equal(typeOf(false, 'dispatch', 'broken'), 'fail');
@@ -29,17 +32,17 @@
   assert.equal(typeOf(false, 'dispatch', 'refused'), 'retry');
 });
 
-test('nothing goes on after its time, and retries end with their budget', () => {
+test('no request is retried after it has expired or once the retry budget is used up', () => {
   const recovery = new Recovery(new Random(1));
-  const late = recovery.decide(createExchange(true, 'dispatch', 'broken'), SETBACK, 10_000);
+  const late = recovery.decide(createExchange(true, 'dispatch', 'broken'), ATTEMPT_FAILURE, 10_000);
   assert.equal(late.type, 'fail');
   const remedies = Array.from({ length: 60 }, () =>
-    recovery.decide(createExchange(true, 'dispatch', 'broken'), SETBACK, 0),
+    recovery.decide(createExchange(true, 'dispatch', 'broken'), ATTEMPT_FAILURE, 0),
   );
   assert.equal(remedies.filter(({ type }) => type === 'retry').length, 50);
 });
 
-test('a request that waits again after it ran is not told that it has not run', () => {
+test('a request that waits again after an attempt ran is not reported as not run', () => {
   const exchange = createExchange(true, 'dispatch', 'broken');
   exchange.retry(exchange.order);
   assert.equal(exchange.lifecycle.state, 'waiting');
--- a/packages/entry/src/lib/completionSchema.ts
+++ b/packages/entry/src/lib/completionSchema.ts
@@ -1,15 +1,15 @@
 import { z } from 'zod';
 
-const MAX_NAME = 128;
+const MAX_NAME_LENGTH = 128;
 
 const messageSchema = z.looseObject({
   role: z.string(),
   content: z.union([z.string(), z.array(z.looseObject({ type: z.string() })), z.null()]).optional(),
 });
 
-/** What the entry reads of a completion request; other fields pass to the engine. @internal */
+/** Fields of a completion request that the entry reads; others are not checked. @internal */
 export const completionSchema = z.looseObject({
-  model: z.string().min(1).max(MAX_NAME),
+  model: z.string().min(1).max(MAX_NAME_LENGTH),
   stream: z.boolean().optional(),
   max_tokens: z.number().int().positive().optional(),
   messages: z.array(messageSchema).min(1).optional(),
@@ -18,7 +18,7 @@
 
 export type Completion = z.output<typeof completionSchema>;
 
-/** Text of a prompt in its order; what is no text counts as its JSON. @internal */
+/** Text of a prompt in original order; content other than text counts as JSON. @internal */
 export function promptOf({ messages = [], prompt = '' }: Completion): string {
   const parts = messages.map(({ role, content }) => {
     const text = typeof content === 'string' ? content : JSON.stringify(content ?? '');
--- a/packages/entry/src/lib/endpointHeaders.ts
+++ b/packages/entry/src/lib/endpointHeaders.ts
@@ -1,9 +1,15 @@
 import type { IncomingHttpHeaders } from 'node:http';
 
-/** Headers of a request that an endpoint may see. */
-const ALLOWED = ['accept', 'accept-language', 'content-type', 'content-language', 'user-agent'];
+/** Request headers that are passed to endpoints. */
+const ALLOWED_HEADERS = [
+  'accept',
+  'accept-language',
+  'content-type',
+  'content-language',
+  'user-agent',
+];
 
-/** Whether a text holds the secret, plainly or percent-encoded. @internal */
+/** Whether a text contains the secret, in plain or percent-encoded form. @internal */
 export function holdsSecret(text: string, secret: string): boolean {
   if (text.includes(secret)) return true;
   if (!text.includes('%')) return false;
@@ -14,7 +20,7 @@
   }
 }
 
-/** Whether a body holds the secret: plainly, percent-encoded or with JSON escapes. @internal */
+/** Whether a body contains the secret: plain, percent-encoded or with JSON escapes. @internal */
 export function bodyHoldsSecret(body: Buffer, secret: string): boolean {
   if (body.includes(secret)) return true;
   if (!body.includes('%') && !body.includes('\\u00')) return false;
@@ -26,15 +32,15 @@
   return decoded.includes(secret);
 }
 
-/** The allowed headers of a request that do not hold the secret. @internal */
+/** Selects the allowed headers of a request that do not contain the secret. @internal */
 export function endpointHeaders(
   headers: IncomingHttpHeaders,
   secret: string,
 ): Record<string, string> {
-  const kept: Record<string, string> = {};
-  for (const name of ALLOWED) {
+  const allowed: Record<string, string> = {};
+  for (const name of ALLOWED_HEADERS) {
     const value = headers[name];
-    if (typeof value === 'string' && !holdsSecret(value, secret)) kept[name] = value;
+    if (typeof value === 'string' && !holdsSecret(value, secret)) allowed[name] = value;
   }
-  return kept;
+  return allowed;
 }
--- a/packages/entry/src/lib/pinSuspect.ts
+++ b/packages/entry/src/lib/pinSuspect.ts
@@ -2,8 +2,8 @@
 import type { Candidate, Job } from '@berylwood/policy';
 import type { EndpointId } from '@berylwood/schema';
 
-/** Open endpoints that serve a job. @internal */
-export function suitable(job: Job, candidates: readonly Candidate[]): EndpointId[] {
+/** Open endpoints that serve the target of a job. @internal */
+export function suitableEndpoints(job: Job, candidates: readonly Candidate[]): EndpointId[] {
   return candidates
     .filter(
       ({ kind, targets, isOpen }) => isOpen && kind === job.kind && targets.includes(job.target),
@@ -16,9 +16,9 @@
 }
 
 /**
- * The endpoints that a suspect must avoid: all but the first by rendezvous hashing that did not
- * fail it before. Copies of one request meet at one sidecar through whichever entry they come, and
- * the sidecar runs one suspect at a time.
+ * Returns the endpoints that a suspect must avoid: all but the first by rendezvous hashing among
+ * those it has not failed on. All entries send copies of one request to the same sidecar, which runs
+ * one suspect at a time.
  * @internal
  */
 export function pinSuspect(
@@ -26,10 +26,10 @@
   fingerprint: string,
   candidates: readonly Candidate[],
 ): EndpointId[] {
-  const open = suitable(job, candidates);
-  const fit = open.filter((endpoint) => !job.avoid.includes(endpoint));
-  const choice = [...(fit.length > 0 ? fit : open)].sort((a, b) =>
+  const open = suitableEndpoints(job, candidates);
+  const eligible = open.filter((endpoint) => !job.avoid.includes(endpoint));
+  const ranked = [...(eligible.length > 0 ? eligible : open)].sort((a, b) =>
     weight(fingerprint, a) < weight(fingerprint, b) ? -1 : 1,
   );
-  return candidates.map(({ endpoint }) => endpoint).filter((endpoint) => endpoint !== choice[0]);
+  return candidates.map(({ endpoint }) => endpoint).filter((endpoint) => endpoint !== ranked[0]);
 }
--- a/packages/entry/src/process/keys.process.test.ts
+++ b/packages/entry/src/process/keys.process.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import { until } from '@berylwood/testing';
 import {
-  LIMIT,
+  TEST_TIMEOUT,
   countRecords,
   createDeployment,
   createEngines,
@@ -12,8 +12,8 @@
 } from './fixtures';
 
 test(
-  'a withdrawn key ends streams, refuses what waits and lets calls complete',
-  LIMIT,
+  'a withdrawn key ends streams, rejects waiting requests and lets calls complete',
+  TEST_TIMEOUT,
   async (t) => {
     const fixture = await createDeployment(t, {
       endpoints: [...createEngines(1, { slots: 1 }), createService('service-1')],
@@ -38,7 +38,7 @@
     assert.equal((await stream(fixture, 'later', 10)).status, 401);
     assert.equal((await call).status, 200);
     await until(
-      'the engine was told',
+      'the engine received the cancellation',
       async () => (await countRecords(fixture, 'engine-1', 'cancel')) > 0,
     );
   },
