--- a/packages/control/src/lib/Observer.ts
+++ b/packages/control/src/lib/Observer.ts
@@ -87,7 +87,7 @@
       if (changes === 'snapshot') this.#publisher.publishSnapshot();
       else this.#publisher.publish(state.index, changes);
     };
-    this.#subscription.onMembers = (changed, removed) =>
+    this.#subscription.onMembersChange = (changed, removed) =>
       this.#publisher.publishMembers(changed, removed);
     this.#subscription.onOrder = (order) => this.#passOrder(order);
     this.#subscription.onConnect = () => this.#relay();
@@ -143,7 +143,7 @@
   }
 
   #relay(): void {
-    this.#subscription.relay([...this.#own.values()]);
+    this.#subscription.relayMembers([...this.#own.values()]);
   }
 
   #passOrder(order: Extract<ControlMessage, { type: 'order' }>): void {
--- a/packages/entry/src/lib/Entry.ts
+++ b/packages/entry/src/lib/Entry.ts
@@ -124,8 +124,8 @@
   override async start(): Promise<void> {
     const { journal } = this.#options;
     this.#subscription.onChange = () => this.#applyState();
-    this.#subscription.onFreshness = (isFresh) => this.#applyFreshness(isFresh);
-    this.#subscription.onMembers = () => this.#endpoints.update(this.#subscription.members);
+    this.#subscription.onFreshnessChange = (isFresh) => this.#applyFreshness(isFresh);
+    this.#subscription.onMembersChange = () => this.#endpoints.update(this.#subscription.members);
     this.#subscription.open();
     const listen = await this.#server.listen();
     journal.record(entryEvents.entryListening, { listen });
--- a/packages/feed/src/lib/StateCopy.ts
+++ b/packages/feed/src/lib/StateCopy.ts
@@ -88,11 +88,11 @@
   /** Applies the changes of one log index; an index already applied is ignored. */
   apply(index: number, changes: readonly FeedChange[]): void {
     if (index <= this.#index) return;
-    for (const change of changes) this.#applyOne(change);
+    for (const change of changes) this.#applyChange(change);
     this.#index = index;
   }
 
-  #applyOne(change: FeedChange): void {
+  #applyChange(change: FeedChange): void {
     switch (change.type) {
       case 'configured':
         if (change.revision <= this.#revision) return;
--- a/packages/feed/src/lib/Subscription.ts
+++ b/packages/feed/src/lib/Subscription.ts
@@ -41,8 +41,8 @@
 }
 
 /** Interval of keep-alive messages; silence of three of them drops the connection. */
-const KEEP_ALIVE_MS = 400;
-const SILENCE_MS = 3 * KEEP_ALIVE_MS;
+const KEEP_ALIVE_INTERVAL_MS = 400;
+const SILENCE_TIMEOUT_MS = 3 * KEEP_ALIVE_INTERVAL_MS;
 
 /** An order for the endpoint of a sidecar. @public */
 export type EndpointOrder = Extract<ControlMessage, { type: 'order' }>;
@@ -65,9 +65,9 @@
   onChange: (changes: readonly FeedChange[] | 'snapshot') => void = () => {};
 
   /** Called after the members have changed, with the difference. */
-  onMembers: (changed: Member[], removed: EndpointId[]) => void = () => {};
+  onMembersChange: (changed: Member[], removed: EndpointId[]) => void = () => {};
 
-  onFreshness: (isFresh: boolean) => void = () => {};
+  onFreshnessChange: (isFresh: boolean) => void = () => {};
 
   /** Called with each order for the endpoint of this sidecar; it may be repeated or outdated. */
   onOrder: (order: EndpointOrder) => void = () => {};
@@ -92,11 +92,11 @@
         ...options,
         path: '/node',
         schema: controlMessageSchema,
-        keepAliveMs: KEEP_ALIVE_MS,
-        silenceTimeoutMs: SILENCE_MS,
+        keepAliveMs: KEEP_ALIVE_INTERVAL_MS,
+        silenceTimeoutMs: SILENCE_TIMEOUT_MS,
       }),
     );
-    this.#dialer.onLink = (link) => this.#greet(link);
+    this.#dialer.onLink = (link) => this.#sendHello(link);
   }
 
   /** Whether new work may be taken now. */
@@ -111,7 +111,9 @@
 
   open(): void {
     this.#store.add(this.#options.timer.every(RENEWAL_INTERVAL_MS, () => this.renew()));
-    this.#store.add(this.#options.timer.every(RENEWAL_INTERVAL_MS / 2, () => this.#watch()));
+    this.#store.add(
+      this.#options.timer.every(RENEWAL_INTERVAL_MS / 2, () => this.#updateFreshness()),
+    );
     this.#dialer.open();
   }
 
@@ -134,7 +136,7 @@
   }
 
   /** Tells the members that depend on this copy, whole. */
-  relay(members: readonly Member[]): void {
+  relayMembers(members: readonly Member[]): void {
     this.#dialer.link?.send({ type: 'relayed', members: [...members] });
   }
 
@@ -142,7 +144,7 @@
     this.#store[Symbol.dispose]();
   }
 
-  #greet(link: ControlLink): void {
+  #sendHello(link: ControlLink): void {
     const { group, process, incarnation, dataCentre, member } = this.#options;
     link.onMessage = (message) => this.#handle(message);
     const applied = this.state.index;
@@ -159,17 +161,17 @@
         else this.#dialer.link?.[Symbol.dispose]();
         break;
       case 'snapshot':
-        if (this.state.restore(message.state)) this.#changed('snapshot');
+        if (this.state.restore(message.state)) this.#handleStateChange('snapshot');
         break;
       case 'changes':
         this.state.apply(message.index, message.changes);
-        this.#changed(message.changes);
+        this.#handleStateChange(message.changes);
         break;
       case 'members':
         this.#applyMembers(message);
         break;
       case 'renewal':
-        this.#renewed(message);
+        this.#handleRenewal(message);
         break;
       case 'order':
         this.onOrder(message);
@@ -179,7 +181,7 @@
     }
   }
 
-  #changed(changes: readonly FeedChange[] | 'snapshot'): void {
+  #handleStateChange(changes: readonly FeedChange[] | 'snapshot'): void {
     const { journal } = this.#options;
     if (changes === 'snapshot' || changes.some(({ type }) => type === 'configured')) {
       journal.record(feedEvents.configurationApplied, { revision: this.state.revision });
@@ -195,26 +197,26 @@
 
   #applyMembers({ whole, changed, removed }: MembersMessage): void {
     const present = new Set(changed.map(({ endpoint }) => endpoint));
-    const gone = whole
+    const removedEndpoints = whole
       ? [...this.members.keys()].filter((endpoint) => !present.has(endpoint))
       : removed;
     for (const member of changed) this.members.set(member.endpoint, member);
-    for (const endpoint of gone) this.members.delete(endpoint);
-    this.onMembers(changed, gone);
+    for (const endpoint of removedEndpoints) this.members.delete(endpoint);
+    this.onMembersChange(changed, removedEndpoints);
   }
 
-  #renewed(renewal: Extract<ControlMessage, { type: 'renewal' }>): void {
+  #handleRenewal(renewal: Extract<ControlMessage, { type: 'renewal' }>): void {
     if (this.state.index < renewal.index) return;
     this.#provenAt = Math.max(this.#provenAt, renewal.sentAt);
-    this.#watch();
+    this.#updateFreshness();
   }
 
-  #watch(): void {
+  #updateFreshness(): void {
     const { isFresh } = this;
     if (isFresh === this.#wasFresh) return;
     this.#wasFresh = isFresh;
     const event = isFresh ? feedEvents.freshnessGained : feedEvents.freshnessLost;
     this.#options.journal.record(event, { index: this.state.index });
-    this.onFreshness(isFresh);
+    this.onFreshnessChange(isFresh);
   }
 }
--- a/packages/sidecar/src/lib/Attempt.ts
+++ b/packages/sidecar/src/lib/Attempt.ts
@@ -1,10 +1,10 @@
 import { Lifecycle } from '@berylwood/base';
 import type { Link } from '@berylwood/link';
 import type { Dispatch, EntryMessage, SidecarMessage, Work } from '@berylwood/schema';
-import { AnswerBuffer } from './AnswerBuffer';
-import { AnswerCopy } from './AnswerCopy';
-import { attemptTable, type AttemptEvent, type AttemptNote } from './attemptMachine';
-import type { AnswerSink } from './Endpoint';
+import { ResponseBuffer } from './ResponseBuffer';
+import { ResponseCopy } from './ResponseCopy';
+import { attemptTable, type AttemptEvent, type AttemptStateMeta } from './attemptMachine';
+import type { ResponseSink } from './Endpoint';
 
 /** A link to an entry. @internal */
 export type EntryLink = Link<SidecarMessage, EntryMessage>;
@@ -13,10 +13,10 @@
 type HeadMessage = Extract<SidecarMessage, { type: 'head' }>;
 
 /** Bytes that an entry may leave unacknowledged before the endpoint is read no further. */
-const WINDOW_BYTES = 256 * 1024;
+const MAX_UNACKNOWLEDGED_BYTES = 256 * 1024;
 
 /** One attempt in the sidecar: its answer, kept until the entry has it. @internal */
-export class Attempt implements AnswerSink, Disposable {
+export class Attempt implements ResponseSink, Disposable {
   /** Called as tokens of the answer pass. */
   onProgress: (tokens: number) => void = () => {};
 
@@ -24,17 +24,17 @@
 
   readonly abort = new AbortController();
 
-  readonly lifecycle = new Lifecycle<AttemptEvent, AttemptNote>(attemptTable);
+  readonly lifecycle = new Lifecycle<AttemptEvent, AttemptStateMeta>(attemptTable);
 
   /** The answer of a call with a claim, for its stored outcome. */
-  readonly copy: AnswerCopy | undefined;
+  readonly responseCopy: ResponseCopy | undefined;
 
   /** Since when no entry is attached, or the reader is held up; undefined when neither. */
-  waitingSince: number | undefined;
+  stalledSince: number | undefined;
 
   readonly #now: () => number;
 
-  readonly #buffer = new AnswerBuffer();
+  readonly #buffer = new ResponseBuffer();
 
   #link: EntryLink | undefined;
 
@@ -48,7 +48,7 @@
     this.dispatch = dispatch;
     this.#link = link;
     this.#now = now;
-    this.copy = dispatch.claim === undefined ? undefined : new AnswerCopy();
+    this.responseCopy = dispatch.claim === undefined ? undefined : new ResponseCopy();
   }
 
   get link(): EntryLink | undefined {
@@ -58,18 +58,18 @@
   head(status: number, headers: Record<string, string>): void {
     if (!this.lifecycle.send('head')) return;
     this.#head = { type: 'head', attempt: this.dispatch.attempt, status, headers };
-    this.copy?.head(status, headers);
+    this.responseCopy?.head(status, headers);
     this.#link?.send(this.#head, true);
   }
 
   data(bytes: Uint8Array, tokens: number): Promise<void> | undefined {
     const part = this.#buffer.append(bytes, tokens);
-    this.copy?.append(bytes);
+    this.responseCopy?.append(bytes);
     const isFirst = part.offset === 0;
     this.#link?.send({ type: 'data', attempt: this.dispatch.attempt, ...part }, isFirst);
     this.onProgress(tokens);
-    if (this.#buffer.unacknowledgedBytes <= WINDOW_BYTES) return undefined;
-    this.waitingSince ??= this.#now();
+    if (this.#buffer.unacknowledgedBytes <= MAX_UNACKNOWLEDGED_BYTES) return undefined;
+    this.stalledSince ??= this.#now();
     return new Promise<void>((resolve) => {
       this.#resumeReading = resolve;
     });
@@ -90,7 +90,7 @@
     const parts = this.#buffer.from(offset);
     if (!parts) return false;
     this.#link = link;
-    this.waitingSince = undefined;
+    this.stalledSince = undefined;
     if (this.#head) link.send(this.#head, true);
     const { attempt } = this.dispatch;
     for (const part of parts) link.send({ type: 'data', attempt, ...part });
@@ -100,8 +100,8 @@
 
   acknowledge(offset: number): void {
     this.#buffer.acknowledge(offset);
-    if (this.#buffer.unacknowledgedBytes > WINDOW_BYTES) return;
-    this.waitingSince = undefined;
+    if (this.#buffer.unacknowledgedBytes > MAX_UNACKNOWLEDGED_BYTES) return;
+    this.stalledSince = undefined;
     this.#resumeReading();
   }
 
@@ -109,7 +109,7 @@
   detach(link: EntryLink): void {
     if (this.#link !== link) return;
     this.#link = undefined;
-    this.waitingSince = this.#now();
+    this.stalledSince = this.#now();
   }
 
   [Symbol.dispose](): void {
@@ -118,7 +118,7 @@
 
   #finish(end: EndMessage): void {
     this.#end = end;
-    this.waitingSince = this.#now();
+    this.stalledSince = this.#now();
     this.#link?.send(end, true);
   }
 }
--- a/packages/sidecar/src/lib/AttemptRunner.ts
+++ b/packages/sidecar/src/lib/AttemptRunner.ts
@@ -16,13 +16,13 @@
   readonly journal: Journal;
 }
 
-const EVENTS: Record<EndpointFault, AttemptEvent> = {
+const EVENT_BY_FAULT: Record<EndpointFault, AttemptEvent> = {
   unreached: 'unreached',
   crashed: 'crash',
   failed: 'fail',
 };
 
-const CODES: Record<`${NotRun}`, Code> = {
+const CODE_BY_NOT_RUN: Record<`${NotRun}`, Code> = {
   true: requestCodes.endpointUnreached,
   false: requestCodes.endpointFailed,
   unknown: requestCodes.outcomeUnknown,
@@ -66,13 +66,13 @@
     const fault = error instanceof EndpointError ? error.fault : 'failed';
     const work = error instanceof EndpointError ? error.work : noWork;
     // The endpoint may fail because the attempt was cancelled; then the state is final already.
-    if (!lifecycle.isFinal && !lifecycle.send(EVENTS[fault])) lifecycle.send('fail');
+    if (!lifecycle.isFinal && !lifecycle.send(EVENT_BY_FAULT[fault])) lifecycle.send('fail');
     const crashed = fault === 'crashed' && lifecycle.state !== 'cancelled';
     if (crashed) reporter.suspect(dispatch.fingerprint);
     const sequence = meter.record(dispatch, work, false);
     const { notRun } = lifecycle.note;
     const isAbandoned = lifecycle.state === 'cancelled';
-    const code = (isAbandoned ? requestCodes.callerTooSlow : CODES[`${notRun}`]).number;
+    const code = (isAbandoned ? requestCodes.callerTooSlow : CODE_BY_NOT_RUN[`${notRun}`]).number;
     attempt.fail({ code, message: String(error), notRun, work, sequence, crashed });
     const { request, attempt: id } = dispatch;
     journal.record(sidecarEvents.attemptFailed, { request, attempt: id, error: String(error) });
--- a/packages/sidecar/src/lib/AttemptTable.ts
+++ b/packages/sidecar/src/lib/AttemptTable.ts
@@ -23,21 +23,21 @@
   readonly timer: Timer;
   readonly journal: Journal;
   /** Why no new attempt may be taken now; undefined when it may. */
-  readonly closedBy: () => Code | undefined;
+  readonly rejectionCode: () => Code | undefined;
   /** Whether attempts that wait here may be handed over now. */
-  readonly mayStart: () => boolean;
+  readonly canStart: () => boolean;
 }
 
 /** Identities of released attempts kept, so that a late copy is refused. */
-const KEPT_RELEASED = 100_000;
+const MAX_RELEASED_IDS = 100_000;
 
 const SWEEP_INTERVAL_MS = 500;
 
 /** Time that an attempt waits for its entry or a slow reader before it is given up, in milliseconds. */
-const ABANDON_MS = 15_000;
+const ABANDON_TIMEOUT_MS = 15_000;
 
 /** Least time until the next decision, in milliseconds. */
-const MIN_WAKE_MS = 1;
+const MIN_DECISION_DELAY_MS = 1;
 
 /** All attempts of a sidecar: each identity runs at most once. @internal */
 export class AttemptTable implements Disposable {
@@ -50,11 +50,11 @@
 
   readonly #store = new DisposableStore();
 
-  #wake: Disposable | undefined;
+  #decisionTimer: Disposable | undefined;
 
   constructor(options: AttemptTableOptions) {
     this.#options = options;
-    this.#store.add(options.timer.every(SWEEP_INTERVAL_MS, () => this.#sweep()));
+    this.#store.add(options.timer.every(SWEEP_INTERVAL_MS, () => this.#abandonStalled()));
   }
 
   /** Attempts whose end the entry has not confirmed yet. */
@@ -77,7 +77,7 @@
   receive(link: EntryLink, message: EntryMessage): void {
     switch (message.type) {
       case 'dispatch':
-        this.#take(link, message);
+        this.#accept(link, message);
         break;
       case 'resume':
         this.#resume(link, message.attempt, message.offset);
@@ -105,14 +105,14 @@
 
   [Symbol.dispose](): void {
     this.#store[Symbol.dispose]();
-    this.#wake?.[Symbol.dispose]();
+    this.#decisionTimer?.[Symbol.dispose]();
   }
 
-  #take(link: EntryLink, dispatch: Dispatch): void {
-    const refusal = this.#refusal(dispatch);
+  #accept(link: EntryLink, dispatch: Dispatch): void {
+    const rejection = this.#rejectionCode(dispatch);
     const { attempt: id, request } = dispatch;
-    if (refusal) {
-      this.#refuse(link, id, refusal);
+    if (rejection) {
+      this.#reject(link, id, rejection);
       return;
     }
     const { timer, journal, queue } = this.#options;
@@ -142,57 +142,59 @@
 
   /** Carries out what the queue decides now. */
   decide(): void {
-    const { queue, timer, mayStart } = this.#options;
-    this.#wake?.[Symbol.dispose]();
-    this.#wake = undefined;
-    if (!mayStart()) this.#refuseWaiting();
+    const { queue, timer, canStart } = this.#options;
+    this.#decisionTimer?.[Symbol.dispose]();
+    this.#decisionTimer = undefined;
+    if (!canStart()) this.#rejectAllQueued();
     for (const decision of queue.decide(timer.now())) {
       const attempt = this.#attempts.get(decision.attempt);
       if (!attempt) continue;
       if (decision.type === 'start') this.#run(attempt);
-      if (decision.type === 'refuse') this.#refuseQueued(attempt, decision.code);
+      if (decision.type === 'refuse') this.#rejectQueued(attempt, decision.code);
     }
     const at = queue.nextAt(timer.now());
     if (at === undefined) return;
-    this.#wake = timer.after(Math.max(MIN_WAKE_MS, at - timer.now()), () => this.decide());
+    this.#decisionTimer = timer.after(Math.max(MIN_DECISION_DELAY_MS, at - timer.now()), () =>
+      this.decide(),
+    );
   }
 
-  #refusal(dispatch: Dispatch): Code | undefined {
+  #rejectionCode(dispatch: Dispatch): Code | undefined {
     const { attempt, incarnation, isSuspect } = dispatch;
     if (incarnation !== this.#options.incarnation) return requestCodes.attemptRefused;
     if (this.#attempts.has(attempt) || this.#released.has(attempt)) {
       return requestCodes.attemptRefused;
     }
     // Two suspects that ran together could not be told apart after a crash.
-    if (isSuspect && this.#holdsSuspect()) return requestCodes.attemptRefused;
-    return this.#options.closedBy();
+    if (isSuspect && this.#hasUnfinishedSuspect()) return requestCodes.attemptRefused;
+    return this.#options.rejectionCode();
   }
 
-  #holdsSuspect(): boolean {
+  #hasUnfinishedSuspect(): boolean {
     const attempts = [...this.#attempts.values()];
     return attempts.some(({ dispatch, lifecycle }) => dispatch.isSuspect && !lifecycle.isFinal);
   }
 
-  #refuse(link: EntryLink | undefined, attempt: AttemptId, code: Code): void {
+  #reject(link: EntryLink | undefined, attempt: AttemptId, code: Code): void {
     this.#options.journal.record(sidecarEvents.attemptRefused, { attempt, code: code.name });
     link?.send({ type: 'refused', attempt, code: code.number, message: code.meaning }, true);
   }
 
-  #refuseQueued(attempt: Attempt, code: Code): void {
+  #rejectQueued(attempt: Attempt, code: Code): void {
     const { attempt: id } = attempt.dispatch;
     if (!attempt.lifecycle.send('refuse')) return;
     const { link } = attempt;
     this.#release(id);
-    this.#refuse(link, id, code);
+    this.#reject(link, id, code);
   }
 
   /** Without proof of freshness nothing new is handed to the endpoint. */
-  #refuseWaiting(): void {
+  #rejectAllQueued(): void {
     const { queue, timer } = this.#options;
     for (const [id, attempt] of this.#attempts) {
       if (attempt.lifecycle.state !== 'queued') continue;
       queue.withdraw(id, timer.now());
-      this.#refuseQueued(attempt, requestCodes.notFresh);
+      this.#rejectQueued(attempt, requestCodes.notFresh);
     }
   }
 
@@ -232,7 +234,7 @@
     const attempt = this.#attempts.get(id);
     if (!attempt) return;
     const { lifecycle, dispatch, abort } = attempt;
-    if (lifecycle.state === 'queued') this.#drop(attempt);
+    if (lifecycle.state === 'queued') this.#revokeQueued(attempt);
     else if (lifecycle.isFinal) this.#release(id);
     else if (dispatch.idempotent) {
       lifecycle.send('cancel');
@@ -244,14 +246,14 @@
   #revoke(link: EntryLink, id: AttemptId): void {
     const attempt = this.#attempts.get(id);
     let outcome = attempt?.lifecycle.note.revoked ?? this.#released.get(id) ?? 'never';
-    if (attempt?.lifecycle.state === 'queued') this.#drop(attempt);
-    if (!attempt && !this.#released.has(id)) this.#remember(id, 'never');
+    if (attempt?.lifecycle.state === 'queued') this.#revokeQueued(attempt);
+    if (!attempt && !this.#released.has(id)) this.#recordReleased(id, 'never');
     if (attempt && outcome === 'unknown') outcome = 'ran';
     link.send({ type: 'revoked', attempt: id, outcome }, true);
   }
 
   /** Takes out an attempt that has not been handed over, and keeps it from ever being. */
-  #drop(attempt: Attempt): void {
+  #revokeQueued(attempt: Attempt): void {
     const { queue, timer } = this.#options;
     const { attempt: id } = attempt.dispatch;
     queue.withdraw(id, timer.now());
@@ -266,25 +268,25 @@
     attempt[Symbol.dispose]();
     this.#attempts.delete(id);
     const { revoked } = attempt.lifecycle.note;
-    this.#remember(id, revoked === 'running' ? 'unknown' : revoked);
+    this.#recordReleased(id, revoked === 'running' ? 'unknown' : revoked);
   }
 
-  #remember(id: AttemptId, outcome: 'never' | 'ran' | 'unknown'): void {
+  #recordReleased(id: AttemptId, outcome: 'never' | 'ran' | 'unknown'): void {
     this.#released.set(id, outcome);
-    if (this.#released.size <= KEPT_RELEASED) return;
+    if (this.#released.size <= MAX_RELEASED_IDS) return;
     const [oldest] = this.#released.keys();
     if (oldest) this.#released.delete(oldest);
   }
 
   /** Gives up attempts whose entry is gone or whose reader is stuck, so that slots come free. */
-  #sweep(): void {
+  #abandonStalled(): void {
     const now = this.#options.timer.now();
     for (const attempt of this.#attempts.values()) {
-      const { waitingSince = now, lifecycle, dispatch } = attempt;
-      if (now - waitingSince < ABANDON_MS) continue;
+      const { stalledSince = now, lifecycle, dispatch } = attempt;
+      if (now - stalledSince < ABANDON_TIMEOUT_MS) continue;
       const { attempt: id, request } = dispatch;
       this.#options.journal.record(sidecarEvents.attemptAbandoned, { request, attempt: id });
-      attempt.waitingSince = undefined;
+      attempt.stalledSince = undefined;
       if (lifecycle.state === 'streaming' && !dispatch.idempotent) attempt.abort.abort();
       this.#cancel(id);
     }
--- a/packages/sidecar/src/lib/Endpoint.ts
+++ b/packages/sidecar/src/lib/Endpoint.ts
@@ -1,7 +1,7 @@
 import type { Dispatch, EndpointAction, OrderId, Work } from '@berylwood/schema';
 
 /** Takes an answer as it comes from an endpoint. @public */
-export interface AnswerSink {
+export interface ResponseSink {
   head(status: number, headers: Record<string, string>): void;
   /** Resolves when more may be sent; undefined when it may be at once. */
   data(bytes: Uint8Array, tokens: number): Promise<void> | undefined;
@@ -50,7 +50,7 @@
    * Runs an attempt and resolves to its work once the answer is whole.
    * @throws EndpointError when the endpoint fails, or the signal aborts.
    */
-  abstract run(dispatch: Dispatch, sink: AnswerSink, signal: AbortSignal): Promise<Work>;
+  abstract run(dispatch: Dispatch, sink: ResponseSink, signal: AbortSignal): Promise<Work>;
 
   /** Ends work that nobody waits for any more. */
   abstract cancel(dispatch: Dispatch): Promise<void>;
--- a/packages/sidecar/src/lib/EngineEndpoint.ts
+++ b/packages/sidecar/src/lib/EngineEndpoint.ts
@@ -1,7 +1,7 @@
 import { Pool } from 'undici';
 import type { Dispatch, EndpointAction, OrderId, Work } from '@berylwood/schema';
 import { CONNECT_TIMEOUT_MS } from './connection';
-import { Endpoint, type AnswerSink, type EndpointLoad, type OrderOutcome } from './Endpoint';
+import { Endpoint, type ResponseSink, type EndpointLoad, type OrderOutcome } from './Endpoint';
 import { EngineRun, type Engine } from './EngineRun';
 
 /** Connections to the engine beyond its slots, for load reports and cancels. */
@@ -35,7 +35,7 @@
     return this.#restarts;
   }
 
-  override run(dispatch: Dispatch, sink: AnswerSink, signal: AbortSignal): Promise<Work> {
+  override run(dispatch: Dispatch, sink: ResponseSink, signal: AbortSignal): Promise<Work> {
     return new EngineRun(this, dispatch, sink, signal).run();
   }
 
--- a/packages/sidecar/src/lib/EngineRun.ts
+++ b/packages/sidecar/src/lib/EngineRun.ts
@@ -1,17 +1,17 @@
 import { Client, type Dispatcher, type Pool } from 'undici';
 import { noWork, type Dispatch, type Work } from '@berylwood/schema';
-import { CONNECT_TIMEOUT_MS, isGone, isUnreached } from './connection';
-import { EndpointError, type AnswerSink, type EndpointFault } from './Endpoint';
-import { keepAnswerHeaders } from './headers';
+import { CONNECT_TIMEOUT_MS, isNotListening, isUnreached } from './connection';
+import { EndpointError, type ResponseSink, type EndpointFault } from './Endpoint';
+import { filterResponseHeaders } from './headers';
 import { UsageReader } from './UsageReader';
 
-type Answer = Dispatcher.ResponseData;
+type EngineResponse = Dispatcher.ResponseData;
 
 /** Silence of a stream after which it is resumed on a new connection, in milliseconds. */
-const SILENCE_MS = 2000;
+const STALL_TIMEOUT_MS = 2000;
 
 /** Longest silence after resumptions that brought nothing: the engine itself is slow then. */
-const MAX_SILENCE_MS = 16_000;
+const MAX_STALL_TIMEOUT_MS = 16_000;
 
 /** Resumptions without a new token after which the run has failed. */
 const MAX_IDLE_RESUMPTIONS = 20;
@@ -42,18 +42,18 @@
 
   readonly #dispatch: Dispatch;
 
-  readonly #sink: AnswerSink;
+  readonly #sink: ResponseSink;
 
   readonly #signal: AbortSignal;
 
   #reader: UsageReader | undefined;
 
   /** Bytes of a resumed stream that were received before. */
-  #skip = 0;
+  #bytesToSkip = 0;
 
   #isStream = false;
 
-  constructor(engine: Engine, dispatch: Dispatch, sink: AnswerSink, signal: AbortSignal) {
+  constructor(engine: Engine, dispatch: Dispatch, sink: ResponseSink, signal: AbortSignal) {
     this.#engine = engine;
     this.#restarts = engine.restarts;
     this.#dispatch = dispatch;
@@ -83,18 +83,18 @@
       body: Buffer.from(dispatch.body),
       signal: this.#signal,
       headersTimeout: 0,
-      bodyTimeout: SILENCE_MS,
+      bodyTimeout: STALL_TIMEOUT_MS,
     });
-    this.#sink.head(answer.statusCode, keepAnswerHeaders(answer.headers));
+    this.#sink.head(answer.statusCode, filterResponseHeaders(answer.headers));
     const contentType = String(answer.headers['content-type'] ?? '');
     this.#isStream = contentType.startsWith('text/event-stream');
     this.#reader = new UsageReader(contentType);
     await this.#read(answer);
   }
 
-  async #read(answer: Answer): Promise<void> {
+  async #read(answer: EngineResponse): Promise<void> {
     for await (const data of answer.body) {
-      const chunk = this.#withoutRepetition(data as Buffer);
+      const chunk = this.#dropReceivedBytes(data as Buffer);
       if (chunk.length === 0) continue;
       this.#reader?.read(chunk);
       const isFull = this.#sink.data(chunk, this.#reader?.tokens ?? 0);
@@ -102,21 +102,21 @@
     }
   }
 
-  #withoutRepetition(chunk: Buffer): Buffer {
-    if (this.#skip === 0) return chunk;
-    const skipped = Math.min(this.#skip, chunk.length);
-    this.#skip -= skipped;
+  #dropReceivedBytes(chunk: Buffer): Buffer {
+    if (this.#bytesToSkip === 0) return chunk;
+    const skipped = Math.min(this.#bytesToSkip, chunk.length);
+    this.#bytesToSkip -= skipped;
     return chunk.subarray(skipped);
   }
 
   async #recover(first: unknown): Promise<void> {
     let error = first;
     for (let idle = 0; idle < MAX_IDLE_RESUMPTIONS; idle += 1) {
-      const fault = await this.#faultOf(error);
+      const fault = await this.#classifyError(error);
       if (fault) throw new EndpointError(fault, this.#reader?.work ?? noWork, error);
       const before = this.#reader?.tokens;
       try {
-        await this.#resume(Math.min(MAX_SILENCE_MS, SILENCE_MS * 2 ** idle));
+        await this.#resume(Math.min(MAX_STALL_TIMEOUT_MS, STALL_TIMEOUT_MS * 2 ** idle));
         return;
       } catch (next) {
         error = next;
@@ -127,12 +127,12 @@
   }
 
   /** The fault when the run can not go on; undefined when the stream may be resumed. */
-  async #faultOf(error: unknown): Promise<EndpointFault | undefined> {
+  async #classifyError(error: unknown): Promise<EndpointFault | undefined> {
     if (this.#signal.aborted) return 'failed';
     if (error instanceof StreamLostError)
       return (await this.#hasRestarted()) ? 'crashed' : 'failed';
     if (!this.#reader && isUnreached(error)) return 'unreached';
-    if (await isGone(this.#engine.address)) return 'crashed';
+    if (await isNotListening(this.#engine.address)) return 'crashed';
     return this.#isStream ? undefined : 'failed';
   }
 
@@ -141,9 +141,9 @@
     return this.#engine.restarts > this.#restarts;
   }
 
-  async #resume(silenceMs: number): Promise<void> {
+  async #resume(stallTimeoutMs: number): Promise<void> {
     const { tokens = 0, bytesAfterToken = 0 } = this.#reader ?? {};
-    this.#skip = bytesAfterToken;
+    this.#bytesToSkip = bytesAfterToken;
     const form = this.#dispatch.path.includes('/chat/') ? 'chat' : 'text';
     const client = new Client(`http://${this.#engine.address}`, {
       connect: { timeout: CONNECT_TIMEOUT_MS },
@@ -153,8 +153,8 @@
         method: 'GET',
         path: `/v1/streams/${this.#dispatch.attempt}?offset=${tokens}&form=${form}`,
         signal: this.#signal,
-        headersTimeout: SILENCE_MS,
-        bodyTimeout: silenceMs,
+        headersTimeout: STALL_TIMEOUT_MS,
+        bodyTimeout: stallTimeoutMs,
       });
       if (answer.statusCode === NOT_FOUND) throw new StreamLostError('no such stream');
       await this.#read(answer);
--- a/packages/sidecar/src/lib/LoadMonitor.ts
+++ b/packages/sidecar/src/lib/LoadMonitor.ts
@@ -4,7 +4,7 @@
 import { isUnreached } from './connection';
 import type { Endpoint, EndpointLoad } from './Endpoint';
 
-const INTERVAL_MS = 250;
+const POLL_INTERVAL_MS = 250;
 const MS_PER_S = 1000;
 
 /** Joins the endpoint's own load report with what the sidecar knows, at a fixed interval. @public */
@@ -53,7 +53,7 @@
   }
 
   open(): void {
-    this.#store.add(this.#timer.every(INTERVAL_MS, () => this.#poll()));
+    this.#store.add(this.#timer.every(POLL_INTERVAL_MS, () => this.#poll()));
   }
 
   [Symbol.dispose](): void {
@@ -63,14 +63,14 @@
   #poll(): void {
     this.#endpoint
       .load()
-      .then((report) => this.#take(report))
+      .then((report) => this.#applyReport(report))
       .catch((error: unknown) => {
         this.#isDown = isUnreached(error);
       })
-      .finally(() => this.push());
+      .finally(() => this.publish());
   }
 
-  #take(report: EndpointLoad | undefined): void {
+  #applyReport(report: EndpointLoad | undefined): void {
     this.#isDown = false;
     if (!report) return;
     const now = this.#timer.now();
@@ -84,7 +84,7 @@
   }
 
   /** Tells the load now. */
-  push(): void {
+  publish(): void {
     this.onLoad(this.current);
   }
 }
--- a/packages/sidecar/src/lib/Meter.ts
+++ b/packages/sidecar/src/lib/Meter.ts
@@ -1,7 +1,7 @@
 import type { Subscription } from '@berylwood/feed';
 import type { Dispatch, EndpointId, IncarnationId, MeterRecord, Work } from '@berylwood/schema';
 
-const BATCH_RECORDS = 1000;
+const MAX_BATCH_RECORDS = 1000;
 
 /** Numbers the work of attempts and hands it in until the control group has committed it. @public */
 export class Meter {
@@ -49,7 +49,7 @@
   async flush(): Promise<void> {
     if (this.#isSending || this.#records.length === 0) return;
     this.#isSending = true;
-    const records = this.#records.slice(0, BATCH_RECORDS);
+    const records = this.#records.slice(0, MAX_BATCH_RECORDS);
     const batch = { endpoint: this.#endpoint, incarnation: this.#incarnation, records };
     const mark = await this.#subscription.call<number>({ type: 'meter', batch });
     if (mark.isOk()) {
--- a/packages/sidecar/src/lib/OrderGate.test.ts
+++ b/packages/sidecar/src/lib/OrderGate.test.ts
@@ -36,9 +36,9 @@
 
 test('refuses an order with an old fencing number, also after a newer one', async () => {
   const { gate, passed, calls } = createGate();
-  await gate.take(createOrder('old', 2));
-  await gate.take(createOrder('new', 5));
-  await gate.take(createOrder('late', 4));
+  await gate.handleOrder(createOrder('old', 2));
+  await gate.handleOrder(createOrder('new', 5));
+  await gate.handleOrder(createOrder('late', 4));
   assert.deepEqual(passed, ['new']);
   const accepted = calls.map((call) => call.type === 'orderAnswer' && call.accepted);
   assert.deepEqual(accepted, [false, true, false]);
@@ -46,13 +46,13 @@
 
 test('passes an order once however often it comes', async () => {
   const { gate, passed } = createGate();
-  await Promise.all([gate.take(createOrder('a', 3)), gate.take(createOrder('a', 3))]);
-  await gate.take(createOrder('a', 3));
+  await Promise.all([gate.handleOrder(createOrder('a', 3)), gate.handleOrder(createOrder('a', 3))]);
+  await gate.handleOrder(createOrder('a', 3));
   assert.deepEqual(passed, ['a']);
 });
 
 test('passes nothing while the present number is not proved', async () => {
   const { gate, passed, calls } = createGate(false);
-  await gate.take(createOrder('a', 9));
+  await gate.handleOrder(createOrder('a', 9));
   assert.deepEqual([passed, calls], [[], []]);
 });
--- a/packages/sidecar/src/lib/OutcomeReporter.ts
+++ b/packages/sidecar/src/lib/OutcomeReporter.ts
@@ -16,12 +16,12 @@
 type Report = Extract<NodeCall, { type: 'settle' | 'suspect' | 'clear' }>;
 
 /** Time in which the attempts that one crash cuts are gathered into one report, in milliseconds. */
-const CRASH_WINDOW_MS = 20;
+const CRASH_BATCH_MS = 20;
 
-const RETRY_MS = 200;
+const RETRY_DELAY_MS = 200;
 
 /** Reports held while no control replica answers; the oldest are dropped first. */
-const MAX_PENDING = 10_000;
+const MAX_PENDING_REPORTS = 10_000;
 
 /** Largest number of fingerprints in one report. */
 const MAX_FINGERPRINTS = 64;
@@ -52,7 +52,7 @@
   /** The endpoint crashed while it held this content. */
   suspect(fingerprint: string): void {
     if (this.#suspects.size === 0) {
-      this.#options.timer.after(CRASH_WINDOW_MS, () => this.#reportSuspects());
+      this.#options.timer.after(CRASH_BATCH_MS, () => this.#reportSuspects());
     }
     this.#suspects.add(fingerprint);
   }
@@ -63,8 +63,8 @@
   }
 
   /** Stores the outcome of a call with a claim. */
-  settle({ dispatch, copy, lifecycle }: Attempt): void {
-    if (dispatch.claim === undefined || !copy) return;
+  settle({ dispatch, responseCopy, lifecycle }: Attempt): void {
+    if (dispatch.claim === undefined || !responseCopy) return;
     const { notRun } = lifecycle.note;
     const outcomes = { true: 'notRun', false: 'ran', unknown: 'unknown' } as const;
     this.#add({
@@ -74,9 +74,9 @@
       request: dispatch.request,
       // A broken answer says too little about the effect of the call.
       outcome: lifecycle.state === 'whole' ? 'ran' : outcomes[`${notRun}`],
-      status: copy.status,
-      headers: copy.headers,
-      body: copy.body,
+      status: responseCopy.status,
+      headers: responseCopy.headers,
+      body: responseCopy.body,
     });
   }
 
@@ -96,7 +96,7 @@
 
   #add(report: Report): void {
     this.#pending.push(report);
-    if (this.#pending.length > MAX_PENDING) this.#pending.shift();
+    if (this.#pending.length > MAX_PENDING_REPORTS) this.#pending.shift();
     this.#send().catch(() => {});
   }
 
@@ -107,7 +107,7 @@
       const [report] = this.#pending;
       const answer = await this.#options.subscription.call(report);
       if (answer.isOk()) this.#pending.shift();
-      else await this.#options.timer.sleep(RETRY_MS);
+      else await this.#options.timer.sleep(RETRY_DELAY_MS);
     }
     this.#isSending = false;
   }
--- a/packages/sidecar/src/lib/AnswerBuffer.ts
+++ b/packages/sidecar/src/lib/ResponseBuffer.ts
@@ -1,13 +1,13 @@
 /** A part of an answer with the offset of its first byte. @internal */
-export interface Part {
+export interface ResponseChunk {
   readonly offset: number;
   readonly bytes: Uint8Array;
   readonly tokens: number;
 }
 
 /** The part of an answer that the entry has not acknowledged yet. @internal */
-export class AnswerBuffer {
-  #parts: Part[] = [];
+export class ResponseBuffer {
+  #parts: ResponseChunk[] = [];
 
   #end = 0;
 
@@ -22,7 +22,7 @@
     return this.#end - this.#acknowledged;
   }
 
-  append(bytes: Uint8Array, tokens: number): Part {
+  append(bytes: Uint8Array, tokens: number): ResponseChunk {
     const part = { offset: this.#end, bytes, tokens };
     this.#parts.push(part);
     this.#end += bytes.length;
@@ -38,7 +38,7 @@
   }
 
   /** What is kept from the offset on; undefined when some of it was forgotten. */
-  from(offset: number): Part[] | undefined {
+  from(offset: number): ResponseChunk[] | undefined {
     if (offset < this.#acknowledged || offset > this.#end) return undefined;
     return this.#parts
       .filter((part) => part.offset + part.bytes.length > offset)
--- a/packages/sidecar/src/lib/AnswerCopy.ts
+++ b/packages/sidecar/src/lib/ResponseCopy.ts
@@ -2,7 +2,7 @@
 const MAX_BODY_BYTES = 64 * 1024;
 
 /** Copy of a whole answer, for the stored outcome of a call that may not be repeated. @internal */
-export class AnswerCopy {
+export class ResponseCopy {
   status = 0;
 
   headers: Record<string, string> = {};
--- a/packages/sidecar/src/lib/ServiceEndpoint.ts
+++ b/packages/sidecar/src/lib/ServiceEndpoint.ts
@@ -1,14 +1,14 @@
 import { Pool } from 'undici';
 import { noWork, type Dispatch, type Work } from '@berylwood/schema';
-import { CONNECT_TIMEOUT_MS, isCut, isUnreached, probe } from './connection';
+import { CONNECT_TIMEOUT_MS, isConnectionLost, isUnreached, probeConnection } from './connection';
 import {
   Endpoint,
   EndpointError,
-  type AnswerSink,
+  type ResponseSink,
   type EndpointFault,
   type OrderOutcome,
 } from './Endpoint';
-import { keepAnswerHeaders } from './headers';
+import { filterResponseHeaders } from './headers';
 
 /** Plain HTTP service; it reports no load. @public */
 export class ServiceEndpoint extends Endpoint implements Disposable {
@@ -23,12 +23,12 @@
     this.#pool = new Pool(`http://${address}`, { connections: slots, connect });
   }
 
-  override async run(dispatch: Dispatch, sink: AnswerSink, signal: AbortSignal): Promise<Work> {
+  override async run(dispatch: Dispatch, sink: ResponseSink, signal: AbortSignal): Promise<Work> {
     try {
       await this.#call(dispatch, sink, signal);
       return noWork;
     } catch (error) {
-      throw new EndpointError(faultOf(error), noWork, error);
+      throw new EndpointError(classifyError(error), noWork, error);
     }
   }
 
@@ -41,7 +41,7 @@
   }
 
   override async load(): Promise<undefined> {
-    await probe(this.#address);
+    await probeConnection(this.#address);
     return undefined;
   }
 
@@ -49,7 +49,7 @@
     this.#pool.destroy().catch(() => {});
   }
 
-  async #call(dispatch: Dispatch, sink: AnswerSink, signal: AbortSignal): Promise<void> {
+  async #call(dispatch: Dispatch, sink: ResponseSink, signal: AbortSignal): Promise<void> {
     const answer = await this.#pool.request({
       method: dispatch.method,
       path: dispatch.path,
@@ -61,13 +61,13 @@
       headersTimeout: 0,
       bodyTimeout: 0,
     });
-    sink.head(answer.statusCode, keepAnswerHeaders(answer.headers));
+    sink.head(answer.statusCode, filterResponseHeaders(answer.headers));
     for await (const chunk of answer.body) await sink.data(chunk as Buffer, 0);
   }
 }
 
 /** A service can not be asked about a call, so a cut connection counts as a crash. */
-function faultOf(error: unknown): EndpointFault {
+function classifyError(error: unknown): EndpointFault {
   if (isUnreached(error)) return 'unreached';
-  return isCut(error) ? 'crashed' : 'failed';
+  return isConnectionLost(error) ? 'crashed' : 'failed';
 }
--- a/packages/sidecar/src/lib/Sidecar.ts
+++ b/packages/sidecar/src/lib/Sidecar.ts
@@ -39,10 +39,10 @@
 const DRAIN_POLL_MS = 50;
 
 /** Time at the end of a drain for outcomes to reach the control group, in milliseconds. */
-const REPORT_LIMIT_MS = 5000;
+const REPORT_DRAIN_TIMEOUT_MS = 5000;
 
 /** Time that frames for an entry are gathered: one frame then carries tokens of many streams. */
-const GATHER_MS = 5;
+const BATCH_INTERVAL_MS = 5;
 
 /** The only way to an endpoint: attempts, metering and drain. @public */
 export class Sidecar extends Task {
@@ -58,7 +58,7 @@
 
   readonly #reporter: OutcomeReporter;
 
-  readonly #gate: OrderGate;
+  readonly #orderGate: OrderGate;
 
   readonly #monitor: LoadMonitor;
 
@@ -82,7 +82,7 @@
         group: process.group,
         process: `${process.name}/${settings.endpoint}`,
         dataCentre: asId(process.dataCentre),
-        member: () => this.#describe(),
+        member: () => this.#createMember(),
       }),
     );
     this.#meter = new Meter(this.#subscription, asId(settings.endpoint), incarnation);
@@ -110,11 +110,11 @@
         queue: new FairLocalQueue({ slots: settings.slots, capacity: settings.queue }),
         timer,
         journal,
-        closedBy: () => this.#closedBy(),
-        mayStart: () => this.#subscription.isFresh,
+        rejectionCode: () => this.#rejectionCode(),
+        canStart: () => this.#subscription.isFresh,
       }),
     );
-    this.#gate = new OrderGate(this.#subscription, endpoint, journal);
+    this.#orderGate = new OrderGate(this.#subscription, endpoint, journal);
     this.#monitor = new LoadMonitor(timer, endpoint, this.#attempts, () => this.#isLeaving);
     this.#server = new LinkServer(options.identity);
   }
@@ -123,16 +123,16 @@
     const { settings, timer, journal } = this.#options;
     this.#server.accept<SidecarMessage, EntryMessage>(
       '/entry',
-      { timer, journal, schema: entryMessageSchema, batchIntervalMs: GATHER_MS },
-      (link) => this.#welcome(link),
+      { timer, journal, schema: entryMessageSchema, batchIntervalMs: BATCH_INTERVAL_MS },
+      (link) => this.#acceptLink(link),
     );
     this.#address = await this.#server.listen(settings.listen);
     this.#subscription.onChange = () => {
       this.#attempts.configure(this.#subscription.state.configuration);
     };
-    this.#subscription.onFreshness = () => this.#attempts.decide();
+    this.#subscription.onFreshnessChange = () => this.#attempts.decide();
     this.#subscription.onOrder = (order) => {
-      this.#gate.take(order).catch(() => {});
+      this.#orderGate.handleOrder(order).catch(() => {});
     };
     this.#subscription.open();
     this.store.add(timer.every(METER_INTERVAL_MS, () => this.#flushMeter()));
@@ -149,12 +149,12 @@
     const { timer, journal, settings } = this.#options;
     this.#isLeaving = true;
     this.#subscription.renew();
-    this.#monitor.push();
+    this.#monitor.publish();
     journal.record(sidecarEvents.sidecarDraining, { endpoint: settings.endpoint });
-    const onExit = (): void => this.#recordCut();
+    const onExit = (): void => this.#recordUnfinishedDrain();
     process.once('exit', onExit);
     while (this.#attempts.openCount > 0) await timer.sleep(DRAIN_POLL_MS);
-    const reportsUntil = timer.now() + REPORT_LIMIT_MS;
+    const reportsUntil = timer.now() + REPORT_DRAIN_TIMEOUT_MS;
     while (this.#reporter.pendingCount > 0 && timer.now() < reportsUntil) {
       await timer.sleep(DRAIN_POLL_MS);
     }
@@ -168,20 +168,20 @@
     // Messages come over links.
   }
 
-  #closedBy(): Code | undefined {
+  #rejectionCode(): Code | undefined {
     if (this.#isLeaving) return requestCodes.draining;
     if (this.#monitor.isDown) return requestCodes.endpointUnreached;
     return this.#subscription.isFresh ? undefined : requestCodes.notFresh;
   }
 
   /** The process ends before the drain has. */
-  #recordCut(): void {
+  #recordUnfinishedDrain(): void {
     const { journal, settings } = this.#options;
     const fields = { endpoint: settings.endpoint, attempts: this.#attempts.openIds };
     journal.record(sidecarEvents.sidecarCut, fields);
   }
 
-  #describe(): Member {
+  #createMember(): Member {
     const { settings, process, incarnation } = this.#options;
     return {
       endpoint: asId(settings.endpoint),
@@ -201,7 +201,7 @@
     this.#meter.flush().catch(() => {});
   }
 
-  #welcome(link: EntryLink): void {
+  #acceptLink(link: EntryLink): void {
     this.#links.add(link);
     link.onMessage = (message) => this.#attempts.receive(link, message);
     link.onClose = () => {
--- a/packages/sidecar/src/lib/UsageReader.ts
+++ b/packages/sidecar/src/lib/UsageReader.ts
@@ -4,10 +4,10 @@
 const TAIL_BYTES = 2048;
 
 const NEWLINE = '\n'.charCodeAt(0);
-const USAGE_MARK = '"usage":{';
-const DONE_MARK = '[DONE]';
+const USAGE_MARKER = '"usage":{';
+const DONE_MARKER = '[DONE]';
 
-interface UsageField {
+interface ReportedUsage {
   readonly prompt_tokens?: number;
   readonly completion_tokens?: number;
   readonly prompt_tokens_details?: { readonly cached_tokens?: number };
@@ -20,7 +20,7 @@
   #tokens = 0;
 
   /** Bytes of whole events after the last token: the usage and the end mark. */
-  #closingBytes = 0;
+  #trailingBytes = 0;
 
   #lastByte: number | undefined;
 
@@ -30,7 +30,7 @@
   #tailLength = 0;
 
   /** Chunks of the event that has not ended yet. */
-  #event: Buffer[] = [];
+  #partialEvent: Buffer[] = [];
 
   constructor(contentType: string) {
     this.#isStream = contentType.startsWith('text/event-stream');
@@ -43,12 +43,12 @@
 
   /** Bytes since the event of the last whole token: what a resumption at it repeats. */
   get bytesAfterToken(): number {
-    return this.#event.reduce((sum, { length }) => sum + length, this.#closingBytes);
+    return this.#partialEvent.reduce((sum, { length }) => sum + length, this.#trailingBytes);
   }
 
   /** Usage as the engine stated it, else as counted. */
   get work(): Work {
-    const usage = this.#statedUsage();
+    const usage = this.#parseReportedUsage();
     if (!usage) return { ...noWork, outputTokens: this.#tokens };
     return {
       inputTokens: usage.prompt_tokens ?? 0,
@@ -71,39 +71,39 @@
   #countEvents(chunk: Buffer): void {
     let start = 0;
     for (let at = chunk.indexOf(NEWLINE); at >= 0; at = chunk.indexOf(NEWLINE, at + 1)) {
-      const isEmpty = at === start && this.#event.length === 0;
-      const before = at > 0 ? chunk[at - 1] : this.#lastByte;
-      if (isEmpty || before !== NEWLINE) continue;
-      this.#event.push(chunk.subarray(start, at + 1));
+      const isEmpty = at === start && this.#partialEvent.length === 0;
+      const previousByte = at > 0 ? chunk[at - 1] : this.#lastByte;
+      if (isEmpty || previousByte !== NEWLINE) continue;
+      this.#partialEvent.push(chunk.subarray(start, at + 1));
       this.#endEvent();
       start = at + 1;
     }
-    if (start < chunk.length) this.#event.push(chunk.subarray(start));
+    if (start < chunk.length) this.#partialEvent.push(chunk.subarray(start));
     this.#lastByte = chunk.at(-1);
   }
 
   #endEvent(): void {
-    const [first = Buffer.alloc(0)] = this.#event;
-    const event = this.#event.length === 1 ? first : Buffer.concat(this.#event);
-    this.#event = [];
-    if (event.includes(USAGE_MARK) || event.includes(DONE_MARK)) {
-      this.#closingBytes += event.length;
+    const [first = Buffer.alloc(0)] = this.#partialEvent;
+    const event = this.#partialEvent.length === 1 ? first : Buffer.concat(this.#partialEvent);
+    this.#partialEvent = [];
+    if (event.includes(USAGE_MARKER) || event.includes(DONE_MARKER)) {
+      this.#trailingBytes += event.length;
       return;
     }
     this.#tokens += 1;
-    this.#closingBytes = 0;
+    this.#trailingBytes = 0;
   }
 
-  #statedUsage(): UsageField | undefined {
+  #parseReportedUsage(): ReportedUsage | undefined {
     const text = Buffer.concat(this.#tail).toString('utf8');
-    const at = text.lastIndexOf(USAGE_MARK);
+    const at = text.lastIndexOf(USAGE_MARKER);
     if (at < 0) return undefined;
-    const start = at + USAGE_MARK.length - 1;
+    const start = at + USAGE_MARKER.length - 1;
     let depth = 0;
     for (let end = start; end < text.length; end += 1) {
       if (text[end] === '{') depth += 1;
       if (text[end] === '}') depth -= 1;
-      if (depth === 0) return JSON.parse(text.slice(start, end + 1)) as UsageField;
+      if (depth === 0) return JSON.parse(text.slice(start, end + 1)) as ReportedUsage;
     }
     return undefined;
   }
--- a/packages/sidecar/src/lib/attemptMachine.ts
+++ b/packages/sidecar/src/lib/attemptMachine.ts
@@ -2,7 +2,7 @@
 import { createMachine } from 'xstate';
 
 /** What may be said of an attempt in one state of the sidecar. @internal */
-export interface AttemptNote {
+export interface AttemptStateMeta {
   /** Answer to an entry that asks to revoke the attempt. */
   readonly revoked: 'never' | 'running' | 'ran' | 'unknown';
   /** What an error that ends the attempt in this state says of its execution. */
@@ -22,12 +22,12 @@
   | 'unreached'
   | 'preempt';
 
-const never: AttemptNote = { revoked: 'never', notRun: true };
-const running: AttemptNote = { revoked: 'running', notRun: false };
-const ran: AttemptNote = { revoked: 'ran', notRun: false };
-const unknown: AttemptNote = { revoked: 'unknown', notRun: 'unknown' };
+const never: AttemptStateMeta = { revoked: 'never', notRun: true };
+const running: AttemptStateMeta = { revoked: 'running', notRun: false };
+const ran: AttemptStateMeta = { revoked: 'ran', notRun: false };
+const unknown: AttemptStateMeta = { revoked: 'unknown', notRun: 'unknown' };
 
-const broken = { fail: 'failed', crash: 'crashed', cancel: 'cancelled' } as const;
+const failureTransitions = { fail: 'failed', crash: 'crashed', cancel: 'cancelled' } as const;
 
 /** The life of an attempt in the sidecar. @internal */
 const attemptMachine = createMachine({
@@ -39,7 +39,7 @@
       on: { start: 'handed', refuse: 'refused', revoke: 'revoked', cancel: 'revoked' },
     },
     handed: {
-      meta: { revoked: 'running', notRun: 'unknown' } satisfies AttemptNote,
+      meta: { revoked: 'running', notRun: 'unknown' } satisfies AttemptStateMeta,
       on: {
         head: 'streaming',
         unreached: 'unreached',
@@ -48,8 +48,8 @@
         cancel: 'cancelled',
       },
     },
-    streaming: { meta: running, on: { end: 'whole', preempt: 'suspended', ...broken } },
-    suspended: { meta: running, on: { start: 'streaming', ...broken } },
+    streaming: { meta: running, on: { end: 'whole', preempt: 'suspended', ...failureTransitions } },
+    suspended: { meta: running, on: { start: 'streaming', ...failureTransitions } },
     refused: { type: 'final', meta: never },
     revoked: { type: 'final', meta: never },
     unreached: { type: 'final', meta: never },
@@ -63,4 +63,4 @@
 });
 
 /** @internal */
-export const attemptTable = new LifecycleTable<AttemptNote>(attemptMachine);
+export const attemptTable = new LifecycleTable<AttemptStateMeta>(attemptMachine);
--- a/packages/sidecar/src/lib/connection.ts
+++ b/packages/sidecar/src/lib/connection.ts
@@ -5,22 +5,22 @@
 export const CONNECT_TIMEOUT_MS = 2000;
 
 /** Codes of errors that came before a connection was made. */
-const UNREACHED = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ETIMEDOUT']);
+const UNREACHED_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ETIMEDOUT']);
 
-function codeOf(error: unknown): string {
+function errorCode(error: unknown): string {
   return String((error as NodeJS.ErrnoException).code ?? '');
 }
 
 /** Whether the error proves that no byte of the request was sent. @internal */
 export function isUnreached(error: unknown): boolean {
   const { syscall } = error as NodeJS.ErrnoException;
-  if (codeOf(error) === 'UND_ERR_CONNECT_TIMEOUT') return true;
-  return syscall === 'connect' && UNREACHED.has(codeOf(error));
+  if (errorCode(error) === 'UND_ERR_CONNECT_TIMEOUT') return true;
+  return syscall === 'connect' && UNREACHED_CODES.has(errorCode(error));
 }
 
 /** Whether the other end closed or reset the connection. @internal */
-export function isCut(error: unknown): boolean {
-  return ['ECONNRESET', 'EPIPE', 'UND_ERR_SOCKET'].includes(codeOf(error));
+export function isConnectionLost(error: unknown): boolean {
+  return ['ECONNRESET', 'EPIPE', 'UND_ERR_SOCKET'].includes(errorCode(error));
 }
 
 /**
@@ -28,7 +28,7 @@
  * @throws the error of the connection.
  * @internal
  */
-export function probe(address: string): Promise<void> {
+export function probeConnection(address: string): Promise<void> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve, reject) => {
     const socket = connect({ host, port, timeout: CONNECT_TIMEOUT_MS });
@@ -42,9 +42,9 @@
 }
 
 /** Whether nothing listens on the address any more. @internal */
-export async function isGone(address: string): Promise<boolean> {
+export async function isNotListening(address: string): Promise<boolean> {
   try {
-    await probe(address);
+    await probeConnection(address);
     return false;
   } catch (error) {
     return isUnreached(error);
--- a/packages/sidecar/src/lib/headers.ts
+++ b/packages/sidecar/src/lib/headers.ts
@@ -1,13 +1,13 @@
 /** Headers that an answer keeps on its way to the caller. */
-const ANSWER_HEADERS = new Set(['content-type', 'content-length', 'content-encoding', 'etag']);
+const RESPONSE_HEADERS = new Set(['content-type', 'content-length', 'content-encoding', 'etag']);
 
 /** Keeps the headers of an answer that belong to its content. @internal */
-export function keepAnswerHeaders(
+export function filterResponseHeaders(
   headers: Record<string, string | string[] | undefined>,
 ): Record<string, string> {
   const kept: Record<string, string> = {};
   for (const [name, value] of Object.entries(headers)) {
-    if (ANSWER_HEADERS.has(name) && typeof value === 'string') kept[name] = value;
+    if (RESPONSE_HEADERS.has(name) && typeof value === 'string') kept[name] = value;
   }
   return kept;
 }
