--- a/packages/sidecar/src/lib/Attempt.ts
+++ b/packages/sidecar/src/lib/Attempt.ts
@@ -12,12 +12,12 @@
 type EndMessage = Extract<SidecarMessage, { type: 'end' | 'failed' }>;
 type HeadMessage = Extract<SidecarMessage, { type: 'head' }>;
 
-/** Bytes that an entry may leave unacknowledged before the endpoint is read no further. */
+/** Unacknowledged bytes above which reading from the endpoint pauses. */
 const MAX_UNACKNOWLEDGED_BYTES = 256 * 1024;
 
-/** One attempt in the sidecar: its answer, kept until the entry has it. @internal */
+/** One attempt in the sidecar. Buffers its response until the entry acknowledges it. @internal */
 export class Attempt implements ResponseSink, Disposable {
-  /** Called as tokens of the answer pass. */
+  /** Called with the number of tokens received so far whenever response data arrives. */
   onProgress: (tokens: number) => void = () => {};
 
   readonly dispatch: Dispatch;
@@ -26,10 +26,13 @@
 
   readonly lifecycle = new Lifecycle<AttemptEvent, AttemptStateMeta>(attemptTable);
 
-  /** The answer of a call with a claim, for its stored outcome. */
+  /** Response to a call with a claim, for the stored outcome. */
   readonly responseCopy: ResponseCopy | undefined;
 
-  /** Since when no entry is attached, or the reader is held up; undefined when neither. */
+  /**
+   * Time since which no entry has been attached, reading has been paused, or the finished attempt has
+   * waited for its release; undefined if none of these.
+   */
   stalledSince: number | undefined;
 
   readonly #now: () => number;
@@ -75,7 +78,7 @@
     });
   }
 
-  /** The answer is whole. */
+  /** Ends the attempt after a complete response. */
   complete(work: Work, sequence: number): void {
     const { attempt } = this.dispatch;
     this.#finish({ type: 'end', attempt, offset: this.#buffer.end, work, sequence });
@@ -85,7 +88,10 @@
     this.#finish({ type: 'failed', attempt: this.dispatch.attempt, ...failure });
   }
 
-  /** Sends what the entry lacks over a new link. False when part of it is no longer kept. */
+  /**
+   * Sends the response from the offset on over a new link. Returns false if part of it is no longer
+   * buffered.
+   */
   resume(link: EntryLink, offset: number): boolean {
     const parts = this.#buffer.from(offset);
     if (!parts) return false;
@@ -105,7 +111,7 @@
     this.#resumeReading();
   }
 
-  /** The link is gone; the answer is kept for a resumption. */
+  /** Detaches a closed link. The response stays buffered, so that the entry can resume it. */
   detach(link: EntryLink): void {
     if (this.#link !== link) return;
     this.#link = undefined;
--- a/packages/sidecar/src/lib/AttemptRunner.ts
+++ b/packages/sidecar/src/lib/AttemptRunner.ts
@@ -28,7 +28,7 @@
   unknown: requestCodes.outcomeUnknown,
 };
 
-/** Runs attempts on the endpoint, meters them and reports how they ended. @internal */
+/** Runs attempts on the endpoint, meters them and reports their outcomes. @internal */
 export class AttemptRunner {
   readonly #options: AttemptRunnerOptions;
 
@@ -36,7 +36,7 @@
     this.#options = options;
   }
 
-  /** Resolves when the attempt has left the endpoint; never rejects. */
+  /** Resolves when the run on the endpoint has ended. Never rejects. */
   async run(attempt: Attempt): Promise<void> {
     const { endpoint, reporter } = this.#options;
     const { dispatch, lifecycle } = attempt;
@@ -65,7 +65,7 @@
     const { dispatch, lifecycle } = attempt;
     const fault = error instanceof EndpointError ? error.fault : 'failed';
     const work = error instanceof EndpointError ? error.work : noWork;
-    // The endpoint may fail because the attempt was cancelled; then the state is final already.
+    // If the endpoint failed because the attempt was cancelled, the state is already final.
     if (!lifecycle.isFinal && !lifecycle.send(EVENT_BY_FAULT[fault])) lifecycle.send('fail');
     const crashed = fault === 'crashed' && lifecycle.state !== 'cancelled';
     if (crashed) reporter.suspect(dispatch.fingerprint);
--- a/packages/sidecar/src/lib/AttemptTable.ts
+++ b/packages/sidecar/src/lib/AttemptTable.ts
@@ -22,30 +22,30 @@
   readonly queue: LocalQueue;
   readonly timer: Timer;
   readonly journal: Journal;
-  /** Why no new attempt may be taken now; undefined when it may. */
+  /** Returns the code with which new attempts are rejected, or undefined if they are accepted. */
   readonly rejectionCode: () => Code | undefined;
-  /** Whether attempts that wait here may be handed over now. */
+  /** Whether queued attempts may be forwarded to the endpoint now. */
   readonly canStart: () => boolean;
 }
 
-/** Identities of released attempts kept, so that a late copy is refused. */
+/** Number of ids of released attempts that are kept, to reject late duplicates. */
 const MAX_RELEASED_IDS = 100_000;
 
 const SWEEP_INTERVAL_MS = 500;
 
-/** Time that an attempt waits for its entry or a slow reader before it is given up, in milliseconds. */
+/** Time after which an attempt without an entry, or with a stalled reader, is abandoned. */
 const ABANDON_TIMEOUT_MS = 15_000;
 
-/** Least time until the next decision, in milliseconds. */
+/** Minimum delay before the queue decides again. */
 const MIN_DECISION_DELAY_MS = 1;
 
-/** All attempts of a sidecar: each identity runs at most once. @internal */
+/** Attempts of a sidecar by id. Each id runs at most once. @internal */
 export class AttemptTable implements Disposable {
   readonly #options: AttemptTableOptions;
 
   readonly #attempts = new Map<AttemptId, Attempt>();
 
-  /** Identities that have left the table, with what became of them. */
+  /** Ids of attempts that were removed from the table, with their outcomes. */
   readonly #released = new Map<AttemptId, 'never' | 'ran' | 'unknown'>();
 
   readonly #store = new DisposableStore();
@@ -57,7 +57,7 @@
     this.#store.add(options.timer.every(SWEEP_INTERVAL_MS, () => this.#abandonStalled()));
   }
 
-  /** Attempts whose end the entry has not confirmed yet. */
+  /** Number of attempts that the entry has not released yet. */
   get openCount(): number {
     return this.#attempts.size;
   }
@@ -140,7 +140,7 @@
     if (this.#attempts.has(id)) link.send({ type: 'accepted', attempt: id });
   }
 
-  /** Carries out what the queue decides now. */
+  /** Applies the current decisions of the queue and schedules the next run. */
   decide(): void {
     const { queue, timer, canStart } = this.#options;
     this.#decisionTimer?.[Symbol.dispose]();
@@ -165,7 +165,7 @@
     if (this.#attempts.has(attempt) || this.#released.has(attempt)) {
       return requestCodes.attemptRefused;
     }
-    // Two suspects that ran together could not be told apart after a crash.
+    // If two suspects ran at the same time, a crash could not be attributed to one of them.
     if (isSuspect && this.#hasUnfinishedSuspect()) return requestCodes.attemptRefused;
     return this.#options.rejectionCode();
   }
@@ -188,7 +188,7 @@
     this.#reject(link, id, code);
   }
 
-  /** Without proof of freshness nothing new is handed to the endpoint. */
+  /** Rejects all queued attempts: without a freshness lease none may start on the endpoint. */
   #rejectAllQueued(): void {
     const { queue, timer } = this.#options;
     for (const [id, attempt] of this.#attempts) {
@@ -252,7 +252,7 @@
     link.send({ type: 'revoked', attempt: id, outcome }, true);
   }
 
-  /** Takes out an attempt that has not been handed over, and keeps it from ever being. */
+  /** Removes an attempt that has not been forwarded and makes sure that it never will be. */
   #revokeQueued(attempt: Attempt): void {
     const { queue, timer } = this.#options;
     const { attempt: id } = attempt.dispatch;
@@ -278,7 +278,7 @@
     if (oldest) this.#released.delete(oldest);
   }
 
-  /** Gives up attempts whose entry is gone or whose reader is stuck, so that slots come free. */
+  /** Abandons attempts whose entry is disconnected or whose reader is stalled, to free their slots. */
   #abandonStalled(): void {
     const now = this.#options.timer.now();
     for (const attempt of this.#attempts.values()) {
--- a/packages/sidecar/src/lib/Endpoint.ts
+++ b/packages/sidecar/src/lib/Endpoint.ts
@@ -1,13 +1,13 @@
 import type { Dispatch, EndpointAction, OrderId, Work } from '@berylwood/schema';
 
-/** Takes an answer as it comes from an endpoint. @public */
+/** Receives a response while it arrives from an endpoint. @public */
 export interface ResponseSink {
   head(status: number, headers: Record<string, string>): void;
-  /** Resolves when more may be sent; undefined when it may be at once. */
+  /** Returns a promise to wait for before more data is sent, or undefined if none is needed. */
   data(bytes: Uint8Array, tokens: number): Promise<void> | undefined;
 }
 
-/** What the endpoint itself reports about its load. @public */
+/** Load as reported by the endpoint. @public */
 export interface EndpointLoad {
   readonly running: number;
   readonly waiting: number;
@@ -15,26 +15,26 @@
   readonly generatedTokens: number;
 }
 
-/** What the endpoint said to an order. @public */
+/** Reply of the endpoint to an order. @public */
 export interface OrderOutcome {
   readonly accepted: boolean;
   readonly message: string;
 }
 
-/** How a run has failed. @public */
+/** Kind of failure of a run. @public */
 export type EndpointFault =
   /** No connection was made, so nothing has run. */
   | 'unreached'
-  /** The endpoint crashed, or restarted, while it held the request. */
+  /** The endpoint crashed or restarted while it ran the request. */
   | 'crashed'
-  /** Anything else. */
+  /** Any other failure. */
   | 'failed';
 
-/** A run that did not give a whole answer. @public */
+/** Thrown by a run that did not produce a complete response. @public */
 export class EndpointError extends Error {
   readonly fault: EndpointFault;
 
-  /** Work done until then. */
+  /** Work done before the failure. */
   readonly work: Work;
 
   constructor(fault: EndpointFault, work: Work, cause: unknown) {
@@ -44,20 +44,20 @@
   }
 }
 
-/** The endpoint beside the sidecar. @public */
+/** The endpoint on the same instance as the sidecar. @public */
 export abstract class Endpoint {
   /**
-   * Runs an attempt and resolves to its work once the answer is whole.
+   * Runs an attempt and resolves to its work once the response is complete.
    * @throws EndpointError when the endpoint fails, or the signal aborts.
    */
   abstract run(dispatch: Dispatch, sink: ResponseSink, signal: AbortSignal): Promise<Work>;
 
-  /** Ends work that nobody waits for any more. */
+  /** Cancels an attempt whose response is no longer needed. */
   abstract cancel(dispatch: Dispatch): Promise<void>;
 
-  /** Gives the endpoint an order of the control group. */
+  /** Forwards an order of the control group to the endpoint. */
   abstract order(order: OrderId, fence: number, action: EndpointAction): Promise<OrderOutcome>;
 
-  /** Asks the endpoint for its load; undefined when it does not report any. */
+  /** Requests the load of the endpoint; undefined if the endpoint does not report any. */
   abstract load(): Promise<EndpointLoad | undefined>;
 }
--- a/packages/sidecar/src/lib/EngineEndpoint.ts
+++ b/packages/sidecar/src/lib/EngineEndpoint.ts
@@ -4,16 +4,16 @@
 import { Endpoint, type ResponseSink, type EndpointLoad, type OrderOutcome } from './Endpoint';
 import { EngineRun, type Engine } from './EngineRun';
 
-/** Connections to the engine beyond its slots, for load reports and cancels. */
+/** Connections to the engine in addition to its slots, for load and cancel requests. */
 const SPARE_CONNECTIONS = 4;
 
-/** Time for the answer to a load report or a cancel, in milliseconds. */
+/** Timeout of load and cancel requests. */
 const CALL_TIMEOUT_MS = 1000;
 
-/** Time for the answer to an order, in milliseconds. */
+/** Timeout of orders. */
 const ORDER_TIMEOUT_MS = 5000;
 
-/** Model engine with the OpenAI wire form. @public */
+/** Model engine with an OpenAI-compatible HTTP API. @public */
 export class EngineEndpoint extends Endpoint implements Disposable, Engine {
   readonly pool: Pool;
 
@@ -72,7 +72,7 @@
     });
     const report = (await answer.body.json()) as Record<string, number>;
     const generatedTokens = report.generated_tokens ?? 0;
-    // The counter starts anew with the engine.
+    // The counter restarts from zero with the engine, so a lower value shows a restart.
     if (generatedTokens < this.#generatedTokens) this.#restarts += 1;
     this.#generatedTokens = generatedTokens;
     return {
--- a/packages/sidecar/src/lib/EngineRun.ts
+++ b/packages/sidecar/src/lib/EngineRun.ts
@@ -7,32 +7,35 @@
 
 type EngineResponse = Dispatcher.ResponseData;
 
-/** Silence of a stream after which it is resumed on a new connection, in milliseconds. */
+/** Time without data after which a stream counts as stalled and is resumed on a new connection. */
 const STALL_TIMEOUT_MS = 2000;
 
-/** Longest silence after resumptions that brought nothing: the engine itself is slow then. */
+/**
+ * Upper limit of the stall timeout. The timeout doubles after each resumption without a new token,
+ * because the engine itself may be slow.
+ */
 const MAX_STALL_TIMEOUT_MS = 16_000;
 
-/** Resumptions without a new token after which the run has failed. */
+/** Consecutive resumptions without a new token after which the run fails. */
 const MAX_IDLE_RESUMPTIONS = 20;
 
 const NOT_FOUND = 404;
 
-/** The engine does not know the stream any more: it was restarted, or has dropped it. */
+/** The engine no longer has the stream, because it restarted or discarded the stream. */
 class StreamLostError extends Error {}
 
-/** What a run needs to know of its engine. @internal */
+/** Connection pool and state of an engine, as a run uses them. @internal */
 export interface Engine {
   readonly pool: Pool;
   readonly address: string;
-  /** Restarts noticed so far. */
+  /** Number of restarts detected so far. */
   readonly restarts: number;
   load(): Promise<unknown>;
 }
 
 /**
- * One run on a model engine. A stream whose connection breaks or falls silent is resumed by its id
- * and the number of tokens received, on a new connection.
+ * Runs one attempt on a model engine. A stream whose connection is lost or stalls is resumed on a
+ * new connection, by its id and the number of tokens received.
  * @internal
  */
 export class EngineRun {
@@ -48,7 +51,7 @@
 
   #reader: UsageReader | undefined;
 
-  /** Bytes of a resumed stream that were received before. */
+  /** Bytes at the start of a resumed stream that were already received and are skipped. */
   #bytesToSkip = 0;
 
   #isStream = false;
@@ -126,7 +129,7 @@
     throw new EndpointError('failed', this.#reader?.work ?? noWork, error);
   }
 
-  /** The fault when the run can not go on; undefined when the stream may be resumed. */
+  /** Returns the fault that ends the run, or undefined if the stream can be resumed. */
   async #classifyError(error: unknown): Promise<EndpointFault | undefined> {
     if (this.#signal.aborted) return 'failed';
     if (error instanceof StreamLostError)
--- a/packages/sidecar/src/lib/LoadMonitor.ts
+++ b/packages/sidecar/src/lib/LoadMonitor.ts
@@ -7,7 +7,10 @@
 const POLL_INTERVAL_MS = 250;
 const MS_PER_S = 1000;
 
-/** Joins the endpoint's own load report with what the sidecar knows, at a fixed interval. @public */
+/**
+ * Polls the load of the endpoint at a fixed interval and combines it with the load of the sidecar.
+ * @public
+ */
 export class LoadMonitor implements Disposable {
   onLoad: (load: Load) => void = () => {};
 
@@ -47,7 +50,7 @@
     };
   }
 
-  /** Whether the last try to reach the endpoint made no connection. */
+  /** Whether the last attempt to connect to the endpoint failed. */
   get isDown(): boolean {
     return this.#isDown;
   }
@@ -83,7 +86,7 @@
     this.#reportedAt = now;
   }
 
-  /** Tells the load now. */
+  /** Publishes the current load. */
   publish(): void {
     this.onLoad(this.current);
   }
--- a/packages/sidecar/src/lib/Meter.ts
+++ b/packages/sidecar/src/lib/Meter.ts
@@ -3,7 +3,10 @@
 
 const MAX_BATCH_RECORDS = 1000;
 
-/** Numbers the work of attempts and hands it in until the control group has committed it. @public */
+/**
+ * Numbers the work records of attempts and sends them until the control group has committed them.
+ * @public
+ */
 export class Meter {
   readonly #subscription: Subscription;
 
@@ -23,12 +26,12 @@
     this.#incarnation = incarnation;
   }
 
-  /** Records that are not committed yet. */
+  /** Number of records that are not committed yet. */
   get pending(): number {
     return this.#records.length;
   }
 
-  /** Records the work of an ended attempt and returns its sequence number. */
+  /** Records the work of a finished attempt and returns the sequence number of the record. */
   record(dispatch: Dispatch, work: Work, billable: boolean): number {
     this.#sequence += 1;
     const { attempt, request, workspace, model = '' } = dispatch;
@@ -45,7 +48,7 @@
     return this.#sequence;
   }
 
-  /** Hands in what is pending; what fails stays for the next time. */
+  /** Sends a batch of pending records. Records that are not committed stay for the next flush. */
   async flush(): Promise<void> {
     if (this.#isSending || this.#records.length === 0) return;
     this.#isSending = true;
--- a/packages/sidecar/src/lib/OrderGate.test.ts
+++ b/packages/sidecar/src/lib/OrderGate.test.ts
@@ -34,7 +34,7 @@
   return { gate, passed, calls };
 }
 
-test('refuses an order with an old fencing number, also after a newer one', async () => {
+test('rejects an order with an outdated fence, also after one with a newer fence', async () => {
   const { gate, passed, calls } = createGate();
   await gate.handleOrder(createOrder('old', 2));
   await gate.handleOrder(createOrder('new', 5));
@@ -44,14 +44,14 @@
   assert.deepEqual(accepted, [false, true, false]);
 });
 
-test('passes an order once however often it comes', async () => {
+test('forwards an order only once if it is received several times', async () => {
   const { gate, passed } = createGate();
   await Promise.all([gate.handleOrder(createOrder('a', 3)), gate.handleOrder(createOrder('a', 3))]);
   await gate.handleOrder(createOrder('a', 3));
   assert.deepEqual(passed, ['a']);
 });
 
-test('passes nothing while the present number is not proved', async () => {
+test('forwards nothing without a freshness lease', async () => {
   const { gate, passed, calls } = createGate(false);
   await gate.handleOrder(createOrder('a', 9));
   assert.deepEqual([passed, calls], [[], []]);
--- a/packages/sidecar/src/lib/OrderGate.ts
+++ b/packages/sidecar/src/lib/OrderGate.ts
@@ -4,7 +4,7 @@
 import type { Endpoint } from './Endpoint';
 import { sidecarEvents } from './events';
 
-/** What the gate needs of the subscription. */
+/** Parts of the subscription that the gate uses. */
 type ControlGroup = Pick<Subscription, 'isFresh' | 'state' | 'call'>;
 
 interface OrderReply {
@@ -12,15 +12,15 @@
   readonly message: string;
 }
 
-/** Orders remembered, so that a repeated one is not passed on again. */
+/** Number of orders whose replies are kept, so that a repeated order is not forwarded again. */
 const MAX_REMEMBERED_ORDERS = 1000;
 
 const MAX_MESSAGE_LENGTH = 1024;
 
 /**
- * Passes orders of the control group to the endpoint. It refuses an order with an older fencing
- * number than the greatest known, as some engines do not check, and passes none while it has no
- * proof that the number it knows is the present one.
+ * Forwards orders of the control group to the endpoint. Rejects an order whose fence is lower than
+ * the highest fence received, because some engines do not check it. Forwards nothing without a
+ * freshness lease, because the fence of this process may then be outdated.
  * @internal
  */
 export class OrderGate {
@@ -40,10 +40,10 @@
     this.#journal = journal;
   }
 
-  /** Takes an order and tells the group what became of it. */
+  /** Forwards or rejects an order and reports the outcome to the control group. */
   async handleOrder(order: EndpointOrder): Promise<void> {
     const { isFresh, state } = this.#group;
-    // Without the present number the order can not be judged; the leader sends it again.
+    // Without a current fence the order can not be checked. The leader sends it again.
     if (!isFresh) return;
     this.#fence = Math.max(this.#fence, state.fence);
     const answer = await this.#replyTo(order);
--- a/packages/sidecar/src/lib/OutcomeReporter.ts
+++ b/packages/sidecar/src/lib/OutcomeReporter.ts
@@ -15,18 +15,21 @@
 
 type Report = Extract<NodeCall, { type: 'settle' | 'suspect' | 'clear' }>;
 
-/** Time in which the attempts that one crash cuts are gathered into one report, in milliseconds. */
+/** Time for which attempts that one crash interrupted are batched into one report. */
 const CRASH_BATCH_MS = 20;
 
 const RETRY_DELAY_MS = 200;
 
-/** Reports held while no control replica answers; the oldest are dropped first. */
+/** Maximum number of reports kept while no control replica replies; the oldest are dropped first. */
 const MAX_PENDING_REPORTS = 10_000;
 
-/** Largest number of fingerprints in one report. */
+/** Maximum number of fingerprints in one report. */
 const MAX_FINGERPRINTS = 64;
 
-/** Hands outcomes of calls with a claim, suspects and cleared fingerprints to the control group. @internal */
+/**
+ * Reports outcomes of calls with a claim, suspects and cleared fingerprints to the control group.
+ * @internal
+ */
 export class OutcomeReporter implements Disposable {
   readonly #options: OutcomeReporterOptions;
 
@@ -44,12 +47,12 @@
     this.#options = options;
   }
 
-  /** Reports that the control group has not confirmed. */
+  /** Number of reports that the control group has not confirmed. */
   get pendingCount(): number {
     return this.#pending.length + this.#suspects.size;
   }
 
-  /** The endpoint crashed while it held this content. */
+  /** Reports a request as suspect because the endpoint crashed while it ran it. */
   suspect(fingerprint: string): void {
     if (this.#suspects.size === 0) {
       this.#options.timer.after(CRASH_BATCH_MS, () => this.#reportSuspects());
@@ -57,12 +60,12 @@
     this.#suspects.add(fingerprint);
   }
 
-  /** The content of a suspect has run whole. */
+  /** Reports that a suspect has run to completion. */
   clear(fingerprint: string): void {
     this.#add({ type: 'clear', fingerprint });
   }
 
-  /** Stores the outcome of a call with a claim. */
+  /** Reports the outcome of a call with a claim; other attempts are ignored. */
   settle({ dispatch, responseCopy, lifecycle }: Attempt): void {
     if (dispatch.claim === undefined || !responseCopy) return;
     const { notRun } = lifecycle.note;
@@ -72,7 +75,7 @@
       workspace: dispatch.workspace,
       idempotencyKey: dispatch.claim,
       request: dispatch.request,
-      // A broken answer says too little about the effect of the call.
+      // An incomplete response does not show whether the call took effect.
       outcome: lifecycle.state === 'whole' ? 'ran' : outcomes[`${notRun}`],
       status: responseCopy.status,
       headers: responseCopy.headers,
--- a/packages/sidecar/src/lib/ResponseBuffer.ts
+++ b/packages/sidecar/src/lib/ResponseBuffer.ts
@@ -1,11 +1,11 @@
-/** A part of an answer with the offset of its first byte. @internal */
+/** Chunk of a response with the offset of its first byte. @internal */
 export interface ResponseChunk {
   readonly offset: number;
   readonly bytes: Uint8Array;
   readonly tokens: number;
 }
 
-/** The part of an answer that the entry has not acknowledged yet. @internal */
+/** Buffers the chunks of a response that the entry has not acknowledged yet. @internal */
 export class ResponseBuffer {
   #parts: ResponseChunk[] = [];
 
@@ -13,7 +13,7 @@
 
   #acknowledged = 0;
 
-  /** Length of the answer so far, in bytes. */
+  /** Bytes of the response received so far. */
   get end(): number {
     return this.#end;
   }
@@ -29,7 +29,7 @@
     return part;
   }
 
-  /** Forgets what lies before the offset. */
+  /** Discards the chunks before the offset. */
   acknowledge(offset: number): void {
     this.#acknowledged = Math.max(this.#acknowledged, Math.min(offset, this.#end));
     while (this.#parts[0] && this.#parts[0].offset + this.#parts[0].bytes.length <= offset) {
@@ -37,7 +37,7 @@
     }
   }
 
-  /** What is kept from the offset on; undefined when some of it was forgotten. */
+  /** Returns the buffered chunks from the offset on, or undefined if some were discarded. */
   from(offset: number): ResponseChunk[] | undefined {
     if (offset < this.#acknowledged || offset > this.#end) return undefined;
     return this.#parts
--- a/packages/sidecar/src/lib/ResponseCopy.ts
+++ b/packages/sidecar/src/lib/ResponseCopy.ts
@@ -1,7 +1,7 @@
-/** Longest body kept for the stored outcome of a call; a longer one is left out. */
+/** Maximum size of a body in the stored outcome of a call; a larger body is left out. */
 const MAX_BODY_BYTES = 64 * 1024;
 
-/** Copy of a whole answer, for the stored outcome of a call that may not be repeated. @internal */
+/** Copy of a response, for the stored outcome of a call that must not run twice. @internal */
 export class ResponseCopy {
   status = 0;
 
@@ -22,7 +22,7 @@
     else this.#chunks.push(bytes);
   }
 
-  /** The body, or nothing when it was too long to be kept. */
+  /** The body; empty if it was larger than the maximum. */
   get body(): Uint8Array {
     return Buffer.concat(this.#chunks);
   }
--- a/packages/sidecar/src/lib/ServiceEndpoint.ts
+++ b/packages/sidecar/src/lib/ServiceEndpoint.ts
@@ -10,7 +10,7 @@
 } from './Endpoint';
 import { filterResponseHeaders } from './headers';
 
-/** Plain HTTP service; it reports no load. @public */
+/** Plain HTTP service, which reports no load. @public */
 export class ServiceEndpoint extends Endpoint implements Disposable {
   readonly #pool: Pool;
 
@@ -33,7 +33,7 @@
   }
 
   override async cancel(): Promise<void> {
-    // The aborted connection is all that a plain service is told.
+    // A plain service has no cancel request; aborting the connection has to suffice.
   }
 
   override async order(): Promise<OrderOutcome> {
@@ -56,7 +56,8 @@
       headers: dispatch.headers,
       body: dispatch.body.length > 0 ? Buffer.from(dispatch.body) : null,
       signal,
-      // A kept connection may be closed just as a call is written, and a call can not be repeated.
+      // The service may close a persistent connection just as a call is written to it, and a call
+      // that is not idempotent can not be retried.
       reset: !dispatch.idempotent,
       headersTimeout: 0,
       bodyTimeout: 0,
@@ -66,7 +67,7 @@
   }
 }
 
-/** A service can not be asked about a call, so a cut connection counts as a crash. */
+/** A lost connection counts as a crash, because a service can not be queried about a call. */
 function classifyError(error: unknown): EndpointFault {
   if (isUnreached(error)) return 'unreached';
   return isConnectionLost(error) ? 'crashed' : 'failed';
--- a/packages/sidecar/src/lib/Sidecar.ts
+++ b/packages/sidecar/src/lib/Sidecar.ts
@@ -38,13 +38,13 @@
 const METER_INTERVAL_MS = 500;
 const DRAIN_POLL_MS = 50;
 
-/** Time at the end of a drain for outcomes to reach the control group, in milliseconds. */
+/** Maximum time at the end of a drain for reporting outcomes to the control group. */
 const REPORT_DRAIN_TIMEOUT_MS = 5000;
 
-/** Time that frames for an entry are gathered: one frame then carries tokens of many streams. */
+/** Time for which messages to an entry are batched, so that one frame carries many streams. */
 const BATCH_INTERVAL_MS = 5;
 
-/** The only way to an endpoint: attempts, metering and drain. @public */
+/** Proxy through which all requests to one endpoint pass. Runs, meters and drains attempts. @public */
 export class Sidecar extends Task {
   readonly name: string;
 
@@ -165,7 +165,7 @@
   }
 
   protected override handle(): void {
-    // Messages come over links.
+    // Messages arrive over links.
   }
 
   #rejectionCode(): Code | undefined {
@@ -174,7 +174,7 @@
     return this.#subscription.isFresh ? undefined : requestCodes.notFresh;
   }
 
-  /** The process ends before the drain has. */
+  /** Logs the attempts that are still open when the process exits before the drain is complete. */
   #recordUnfinishedDrain(): void {
     const { journal, settings } = this.#options;
     const fields = { endpoint: settings.endpoint, attempts: this.#attempts.openIds };
--- a/packages/sidecar/src/lib/UsageReader.test.ts
+++ b/packages/sidecar/src/lib/UsageReader.test.ts
@@ -12,7 +12,7 @@
   return reader;
 }
 
-test('counts tokens and closing bytes alike however the answer is cut', () => {
+test('counts tokens and trailing bytes correctly wherever the response is split into chunks', () => {
   for (let cut = 0; cut <= ANSWER.length; cut += 1) {
     const before = createReader(ANSWER.slice(0, cut));
     const kept = before.tokens * TOKEN.length + before.bytesAfterToken;
--- a/packages/sidecar/src/lib/UsageReader.ts
+++ b/packages/sidecar/src/lib/UsageReader.ts
@@ -1,6 +1,6 @@
 import { noWork, type Work } from '@berylwood/schema';
 
-/** Bytes at the end of an answer within which the usage stands. */
+/** Number of bytes at the end of a response that are searched for the usage. */
 const TAIL_BYTES = 2048;
 
 const NEWLINE = '\n'.charCodeAt(0);
@@ -13,40 +13,40 @@
   readonly prompt_tokens_details?: { readonly cached_tokens?: number };
 }
 
-/** Reads the tokens and the usage of an answer as it passes, without keeping the answer. @internal */
+/** Counts the tokens of a response and reads its usage, without buffering the response. @internal */
 export class UsageReader {
   readonly #isStream: boolean;
 
   #tokens = 0;
 
-  /** Bytes of whole events after the last token: the usage and the end mark. */
+  /** Bytes of complete events after the last token: the usage and the end marker. */
   #trailingBytes = 0;
 
   #lastByte: number | undefined;
 
-  /** Last chunks, together at least as long as the tail while the answer has as much. */
+  /** Last chunks: at least `TAIL_BYTES` in total, or the whole response if it is shorter. */
   #tail: Buffer[] = [];
 
   #tailLength = 0;
 
-  /** Chunks of the event that has not ended yet. */
+  /** Chunks of the event that is not complete yet. */
   #partialEvent: Buffer[] = [];
 
   constructor(contentType: string) {
     this.#isStream = contentType.startsWith('text/event-stream');
   }
 
-  /** Tokens so far: one event of a stream carries one token. */
+  /** Number of tokens received so far; each event of a stream carries one token. */
   get tokens(): number {
     return this.#tokens;
   }
 
-  /** Bytes since the event of the last whole token: what a resumption at it repeats. */
+  /** Bytes received after the last complete token event, which a resumed stream sends again. */
   get bytesAfterToken(): number {
     return this.#partialEvent.reduce((sum, { length }) => sum + length, this.#trailingBytes);
   }
 
-  /** Usage as the engine stated it, else as counted. */
+  /** Usage reported by the engine, or the counted tokens if it reported none. */
   get work(): Work {
     const usage = this.#parseReportedUsage();
     if (!usage) return { ...noWork, outputTokens: this.#tokens };
@@ -67,7 +67,7 @@
     }
   }
 
-  /** An event ends with an empty line, which may be split between two chunks. */
+  /** Counts complete events. The empty line that ends an event may be split between two chunks. */
   #countEvents(chunk: Buffer): void {
     let start = 0;
     for (let at = chunk.indexOf(NEWLINE); at >= 0; at = chunk.indexOf(NEWLINE, at + 1)) {
--- a/packages/sidecar/src/lib/attemptMachine.ts
+++ b/packages/sidecar/src/lib/attemptMachine.ts
@@ -1,11 +1,11 @@
 import { LifecycleTable, type NotRun } from '@berylwood/base';
 import { createMachine } from 'xstate';
 
-/** What may be said of an attempt in one state of the sidecar. @internal */
+/** Metadata of one state of an attempt in the sidecar. @internal */
 export interface AttemptStateMeta {
-  /** Answer to an entry that asks to revoke the attempt. */
+  /** Reply to an entry that revokes the attempt. */
   readonly revoked: 'never' | 'running' | 'ran' | 'unknown';
-  /** What an error that ends the attempt in this state says of its execution. */
+  /** Value of `notRun` in an error that ends the attempt in this state. */
   readonly notRun: NotRun;
 }
 
@@ -29,7 +29,7 @@
 
 const failureTransitions = { fail: 'failed', crash: 'crashed', cancel: 'cancelled' } as const;
 
-/** The life of an attempt in the sidecar. @internal */
+/** State machine of an attempt in the sidecar. @internal */
 const attemptMachine = createMachine({
   id: 'sidecar',
   initial: 'queued',
--- a/packages/sidecar/src/lib/connection.ts
+++ b/packages/sidecar/src/lib/connection.ts
@@ -1,10 +1,10 @@
 import { connect } from 'node:net';
 import { splitAddress } from '@berylwood/link';
 
-/** Time for a connection to the endpoint on the same instance, in milliseconds. */
+/** Timeout for connecting to the endpoint on the same instance. */
 export const CONNECT_TIMEOUT_MS = 2000;
 
-/** Codes of errors that came before a connection was made. */
+/** Codes of errors that occur before a connection is established. */
 const UNREACHED_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ETIMEDOUT']);
 
 function errorCode(error: unknown): string {
@@ -18,14 +18,14 @@
   return syscall === 'connect' && UNREACHED_CODES.has(errorCode(error));
 }
 
-/** Whether the other end closed or reset the connection. @internal */
+/** Whether the peer closed or reset the connection. @internal */
 export function isConnectionLost(error: unknown): boolean {
   return ['ECONNRESET', 'EPIPE', 'UND_ERR_SOCKET'].includes(errorCode(error));
 }
 
 /**
- * Makes a connection and closes it.
- * @throws the error of the connection.
+ * Opens a connection and closes it again.
+ * @throws the connection error.
  * @internal
  */
 export function probeConnection(address: string): Promise<void> {
@@ -41,7 +41,7 @@
   });
 }
 
-/** Whether nothing listens on the address any more. @internal */
+/** Whether a connection probe shows that nothing listens on the address. @internal */
 export async function isNotListening(address: string): Promise<boolean> {
   try {
     await probeConnection(address);
--- a/packages/sidecar/src/lib/headers.ts
+++ b/packages/sidecar/src/lib/headers.ts
@@ -1,7 +1,7 @@
-/** Headers that an answer keeps on its way to the caller. */
+/** Response headers that are forwarded to the caller. */
 const RESPONSE_HEADERS = new Set(['content-type', 'content-length', 'content-encoding', 'etag']);
 
-/** Keeps the headers of an answer that belong to its content. @internal */
+/** Returns only the response headers that describe the content. @internal */
 export function filterResponseHeaders(
   headers: Record<string, string | string[] | undefined>,
 ): Record<string, string> {
