--- a/packages/feed/src/index.ts
+++ b/packages/feed/src/index.ts
@@ -1,4 +1,4 @@
-/** Copies of the replicated state in entries and sidecars, with proof of freshness. */
+/** Copies of the replicated state in entries and sidecars, with a freshness lease. */
 export { CLOCK_RATE_BOUND, FRESHNESS_MS, RENEWAL_INTERVAL_MS } from './lib/constants';
 export { feedEvents } from './lib/events';
 export { StateCopy } from './lib/StateCopy';
--- a/packages/feed/src/lib/StateCopy.ts
+++ b/packages/feed/src/lib/StateCopy.ts
@@ -9,7 +9,10 @@
   type Suspicion,
 } from '@berylwood/schema';
 
-/** Copy of the replicated state that nodes need. Revisions and fences only grow. @public */
+/**
+ * Copy of the part of the replicated state that nodes use. Revisions and fences never decrease.
+ * @public
+ */
 export class StateCopy {
   #index = 0;
 
@@ -57,7 +60,7 @@
     return this.#suspicions.get(fingerprint);
   }
 
-  /** The whole state, as a snapshot for another copy. */
+  /** Returns the complete state as a snapshot for another copy. */
   toState(): FeedState {
     return {
       index: this.#index,
@@ -69,7 +72,7 @@
     };
   }
 
-  /** Replaces the state; an older snapshot is ignored and false returned. */
+  /** Replaces the state. Ignores an older snapshot and returns false. */
   restore(state: FeedState): boolean {
     if (state.index < this.#index || state.revision < this.#revision) return false;
     this.#index = state.index;
--- a/packages/feed/src/lib/Subscription.ts
+++ b/packages/feed/src/lib/Subscription.ts
@@ -33,14 +33,17 @@
   readonly process: string;
   readonly incarnation: IncarnationId;
   readonly dataCentre: DataCentreId;
-  /** Given by a sidecar: its endpoint as members see it. */
+  /** Set by a sidecar: returns the member entry of its endpoint. */
   readonly member?: () => Member;
   readonly identity?: LinkIdentity;
-  /** Index told as applied, when others depend on this copy; that of the copy by default. */
+  /**
+   * Index to report as applied. Set when other processes receive the state through this process;
+   * defaults to the index of this copy.
+   */
   readonly appliedIndex?: () => number;
 }
 
-/** Interval of keep-alive messages; silence of three of them drops the connection. */
+/** Interval of keep-alive messages. A connection is closed after three intervals without data. */
 const KEEP_ALIVE_INTERVAL_MS = 400;
 const SILENCE_TIMEOUT_MS = 3 * KEEP_ALIVE_INTERVAL_MS;
 
@@ -52,8 +55,9 @@
 type ControlLink = Link<NodeMessage | NodeCall, ControlMessage>;
 
 /**
- * Keeps a copy of the replicated state and the freshness lease of this process: proof, younger than
- * 2 s by its own monotonic clock, that it has applied everything committed at that time.
+ * Maintains a copy of the replicated state and the freshness lease of this process. The lease shows
+ * that the process has applied everything that was committed at a point in time less than 2 s ago,
+ * by its own monotonic clock.
  * @public
  */
 export class Subscription implements Disposable {
@@ -61,18 +65,18 @@
 
   readonly members = new Map<EndpointId, Member>();
 
-  /** Called after the state has changed; a snapshot counts as a change of unknown extent. */
+  /** Called after the state has changed; `'snapshot'` means that any part may have changed. */
   onChange: (changes: readonly FeedChange[] | 'snapshot') => void = () => {};
 
-  /** Called after the members have changed, with the difference. */
+  /** Called after the members have changed, with the changed and the removed ones. */
   onMembersChange: (changed: Member[], removed: EndpointId[]) => void = () => {};
 
   onFreshnessChange: (isFresh: boolean) => void = () => {};
 
-  /** Called with each order for the endpoint of this sidecar; it may be repeated or outdated. */
+  /** Called with each order for the endpoint of this sidecar. Orders may be repeated or outdated. */
   onOrder: (order: EndpointOrder) => void = () => {};
 
-  /** Called when a connection to the control group has been greeted. */
+  /** Called when the hello message has been sent on a new connection to the control group. */
   onConnect: () => void = () => {};
 
   readonly #options: SubscriptionOptions;
@@ -99,12 +103,12 @@
     this.#dialer.onLink = (link) => this.#sendHello(link);
   }
 
-  /** Whether new work may be taken now. */
+  /** Whether the freshness lease is valid, so that new work may be accepted. */
   get isFresh(): boolean {
     return this.#options.timer.now() < this.#provenAt + FRESHNESS_MS;
   }
 
-  /** Time on the own monotonic clock at which the copy is known to have been current. */
+  /** Latest time, on the local monotonic clock, at which the copy was proven to be current. */
   get provenAt(): number {
     return this.#provenAt;
   }
@@ -127,7 +131,7 @@
     return link.call<Answer>(call, timeoutMs);
   }
 
-  /** Renews the proof of freshness now, and tells the state of the member. */
+  /** Requests a renewal of the freshness lease and reports the state of the member. */
   renew(): void {
     const { timer, member, appliedIndex } = this.#options;
     const sentAt = timer.now();
@@ -135,7 +139,7 @@
     this.#dialer.link?.send({ type: 'renew', sentAt, applied, state: member?.().state });
   }
 
-  /** Tells the members that depend on this copy, whole. */
+  /** Sends the full list of members that are connected through this process. */
   relayMembers(members: readonly Member[]): void {
     this.#dialer.link?.send({ type: 'relayed', members: [...members] });
   }
@@ -191,7 +195,7 @@
         journal.record(feedEvents.keyWithdrawn, { key: change.key });
     }
     this.onChange(changes);
-    // Tells the group at once that the change is applied, so that it counts as in force.
+    // Reports the applied index at once, so that the control group can count the change as in force.
     this.renew();
   }
 
