--- a/packages/feed/src/lib/events.ts
+++ b/packages/feed/src/lib/events.ts
@@ -5,25 +5,25 @@
   freshnessGained: {
     number: 3500,
     level: 'info',
-    meaning: 'The process has applied everything committed and takes work.',
+    meaning: 'The process has applied all committed changes and accepts work.',
     action: 'none',
   },
   freshnessLost: {
     number: 3501,
     level: 'warn',
-    meaning: 'The process can not prove that its state is current and takes no new work.',
+    meaning: 'The freshness lease has expired, and the process accepts no new work.',
     action: 'Check the connection to the control group and whether the group has a leader.',
   },
   configurationApplied: {
     number: 3502,
     level: 'info',
-    meaning: 'A revision of the configuration is in force in this process.',
+    meaning: 'The process has applied a revision of the configuration.',
     action: 'none',
   },
   keyWithdrawn: {
     number: 3503,
     level: 'info',
-    meaning: 'A withdrawn key is refused from now on in this process.',
+    meaning: 'The process rejects a withdrawn key from now on.',
     action: 'none',
   },
 });
