--- a/packages/feed/src/lib/Subscription.ts
+++ b/packages/feed/src/lib/Subscription.ts
@@ -122,13 +122,13 @@
   }
 
   /** Sends a call to the control group. */
-  call<Answer>(call: NodeCall, timeoutMs?: number): Promise<Result<Answer, Failure>> {
+  call<Reply>(call: NodeCall, timeoutMs?: number): Promise<Result<Reply, Failure>> {
     const { link } = this.#dialer;
     if (!link) {
       const notRun = { notRun: true };
       return Promise.resolve(fail(linkCodes.linkLost, 'no control replica is connected', notRun));
     }
-    return link.call<Answer>(call, timeoutMs);
+    return link.call<Reply>(call, timeoutMs);
   }
 
   /** Requests a renewal of the freshness lease and reports the state of the member. */
--- a/packages/sidecar/src/lib/OrderGate.test.ts
+++ b/packages/sidecar/src/lib/OrderGate.test.ts
@@ -14,7 +14,7 @@
 }
 
 function createGate(isFresh = true) {
-  const passed: string[] = [];
+  const forwarded: string[] = [];
   const calls: NodeCall[] = [];
   const group = {
     isFresh,
@@ -26,33 +26,33 @@
   };
   const endpoint = {
     order: async (id: string) => {
-      passed.push(id);
+      forwarded.push(id);
       return { accepted: true, message: '' };
     },
   } as unknown as Endpoint;
   const gate = new OrderGate(group, endpoint, createSilentJournal(new SystemTimer()));
-  return { gate, passed, calls };
+  return { gate, forwarded, calls };
 }
 
 test('rejects an order with an outdated fence, also after one with a newer fence', async () => {
-  const { gate, passed, calls } = createGate();
+  const { gate, forwarded, calls } = createGate();
   await gate.handleOrder(createOrder('old', 2));
   await gate.handleOrder(createOrder('new', 5));
   await gate.handleOrder(createOrder('late', 4));
-  assert.deepEqual(passed, ['new']);
+  assert.deepEqual(forwarded, ['new']);
   const accepted = calls.map((call) => call.type === 'orderAnswer' && call.accepted);
   assert.deepEqual(accepted, [false, true, false]);
 });
 
 test('forwards an order only once if it is received several times', async () => {
-  const { gate, passed } = createGate();
+  const { gate, forwarded } = createGate();
   await Promise.all([gate.handleOrder(createOrder('a', 3)), gate.handleOrder(createOrder('a', 3))]);
   await gate.handleOrder(createOrder('a', 3));
-  assert.deepEqual(passed, ['a']);
+  assert.deepEqual(forwarded, ['a']);
 });
 
 test('forwards nothing without a freshness lease', async () => {
-  const { gate, passed, calls } = createGate(false);
+  const { gate, forwarded, calls } = createGate(false);
   await gate.handleOrder(createOrder('a', 9));
-  assert.deepEqual([passed, calls], [[], []]);
+  assert.deepEqual([forwarded, calls], [[], []]);
 });
--- a/packages/sidecar/src/lib/UsageReader.test.ts
+++ b/packages/sidecar/src/lib/UsageReader.test.ts
@@ -4,7 +4,7 @@
 
 const TOKEN = 'data: {"choices":[{"delta":{"content":"a.0 "}}]}\n\n';
 const USAGE = 'data: {"choices":[],"usage":{"prompt_tokens":3,"completion_tokens":2}}\n\n';
-const ANSWER = `${TOKEN}${TOKEN}${USAGE}data: [DONE]\n\n`;
+const RESPONSE = `${TOKEN}${TOKEN}${USAGE}data: [DONE]\n\n`;
 
 function createReader(...chunks: string[]): UsageReader {
   const reader = new UsageReader('text/event-stream');
@@ -13,12 +13,12 @@
 }
 
 test('counts tokens and trailing bytes correctly wherever the response is split into chunks', () => {
-  for (let cut = 0; cut <= ANSWER.length; cut += 1) {
-    const before = createReader(ANSWER.slice(0, cut));
-    const kept = before.tokens * TOKEN.length + before.bytesAfterToken;
-    assert.equal(kept, cut, `cut at ${cut}`);
-    const whole = createReader(ANSWER.slice(0, cut), ANSWER.slice(cut));
-    assert.equal(whole.tokens, 2, `cut at ${cut}`);
+  for (let splitAt = 0; splitAt <= RESPONSE.length; splitAt += 1) {
+    const before = createReader(RESPONSE.slice(0, splitAt));
+    const receivedBytes = before.tokens * TOKEN.length + before.bytesAfterToken;
+    assert.equal(receivedBytes, splitAt, `split at ${splitAt}`);
+    const whole = createReader(RESPONSE.slice(0, splitAt), RESPONSE.slice(splitAt));
+    assert.equal(whole.tokens, 2, `split at ${splitAt}`);
     assert.deepEqual(whole.work, { inputTokens: 3, outputTokens: 2, cachedTokens: 0 });
   }
 });
