--- a/packages/feed/src/lib/StateCopy.ts
+++ b/packages/feed/src/lib/StateCopy.ts
@@ -9,7 +9,10 @@
   type Suspicion,
 } from '@berylwood/schema';
 
-/** Copy of the replicated state that nodes need. Revisions and fences only grow. @public */
+/**
+ * Copy of the part of the replicated state that nodes use. Revisions and fences never decrease.
+ * @public
+ */
 export class StateCopy {
   #index = 0;
 
@@ -57,7 +60,7 @@
     return this.#suspicions.get(fingerprint);
   }
 
-  /** The whole state, as a snapshot for another copy. */
+  /** Returns the complete state as a snapshot for another copy. */
   toState(): FeedState {
     return {
       index: this.#index,
@@ -69,7 +72,7 @@
     };
   }
 
-  /** Replaces the state; an older snapshot is ignored and false returned. */
+  /** Replaces the state. Ignores an older snapshot and returns false. */
   restore(state: FeedState): boolean {
     if (state.index < this.#index || state.revision < this.#revision) return false;
     this.#index = state.index;
@@ -88,11 +91,11 @@
   /** Applies the changes of one log index; an index already applied is ignored. */
   apply(index: number, changes: readonly FeedChange[]): void {
     if (index <= this.#index) return;
-    for (const change of changes) this.#applyOne(change);
+    for (const change of changes) this.#applyChange(change);
     this.#index = index;
   }
 
-  #applyOne(change: FeedChange): void {
+  #applyChange(change: FeedChange): void {
     switch (change.type) {
       case 'configured':
         if (change.revision <= this.#revision) return;
--- a/packages/feed/src/lib/Subscription.ts
+++ b/packages/feed/src/lib/Subscription.ts
@@ -33,16 +33,19 @@
   readonly process: string;
   readonly incarnation: IncarnationId;
   readonly dataCentre: DataCentreId;
-  /** Given by a sidecar: its endpoint as members see it. */
+  /** Set by a sidecar: returns the member entry of its endpoint. */
   readonly member?: () => Member;
   readonly identity?: LinkIdentity;
-  /** Index told as applied, when others depend on this copy; that of the copy by default. */
+  /**
+   * Index to report as applied. Set when other processes receive the state through this process;
+   * defaults to the index of this copy.
+   */
   readonly appliedIndex?: () => number;
 }
 
-/** Interval of keep-alive messages; silence of three of them drops the connection. */
-const KEEP_ALIVE_MS = 400;
-const SILENCE_MS = 3 * KEEP_ALIVE_MS;
+/** Interval of keep-alive messages. A connection is closed after three intervals without data. */
+const KEEP_ALIVE_INTERVAL_MS = 400;
+const SILENCE_TIMEOUT_MS = 3 * KEEP_ALIVE_INTERVAL_MS;
 
 /** An order for the endpoint of a sidecar. @public */
 export type EndpointOrder = Extract<ControlMessage, { type: 'order' }>;
@@ -52,8 +55,9 @@
 type ControlLink = Link<NodeMessage | NodeCall, ControlMessage>;
 
 /**
- * Keeps a copy of the replicated state and the freshness lease of this process: proof, younger than
- * 2 s by its own monotonic clock, that it has applied everything committed at that time.
+ * Maintains a copy of the replicated state and the freshness lease of this process. The lease shows
+ * that the process has applied everything that was committed at a point in time less than 2 s ago,
+ * by its own monotonic clock.
  * @public
  */
 export class Subscription implements Disposable {
@@ -61,18 +65,18 @@
 
   readonly members = new Map<EndpointId, Member>();
 
-  /** Called after the state has changed; a snapshot counts as a change of unknown extent. */
+  /** Called after the state has changed; `'snapshot'` means that any part may have changed. */
   onChange: (changes: readonly FeedChange[] | 'snapshot') => void = () => {};
 
-  /** Called after the members have changed, with the difference. */
-  onMembers: (changed: Member[], removed: EndpointId[]) => void = () => {};
+  /** Called after the members have changed, with the changed and the removed ones. */
+  onMembersChange: (changed: Member[], removed: EndpointId[]) => void = () => {};
 
-  onFreshness: (isFresh: boolean) => void = () => {};
+  onFreshnessChange: (isFresh: boolean) => void = () => {};
 
-  /** Called with each order for the endpoint of this sidecar; it may be repeated or outdated. */
+  /** Called with each order for the endpoint of this sidecar. Orders may be repeated or outdated. */
   onOrder: (order: EndpointOrder) => void = () => {};
 
-  /** Called when a connection to the control group has been greeted. */
+  /** Called when the hello message has been sent on a new connection to the control group. */
   onConnect: () => void = () => {};
 
   readonly #options: SubscriptionOptions;
@@ -92,40 +96,42 @@
         ...options,
         path: '/node',
         schema: controlMessageSchema,
-        keepAliveMs: KEEP_ALIVE_MS,
-        silenceTimeoutMs: SILENCE_MS,
+        keepAliveMs: KEEP_ALIVE_INTERVAL_MS,
+        silenceTimeoutMs: SILENCE_TIMEOUT_MS,
       }),
     );
-    this.#dialer.onLink = (link) => this.#greet(link);
+    this.#dialer.onLink = (link) => this.#sendHello(link);
   }
 
-  /** Whether new work may be taken now. */
+  /** Whether the freshness lease is valid, so that new work may be accepted. */
   get isFresh(): boolean {
     return this.#options.timer.now() < this.#provenAt + FRESHNESS_MS;
   }
 
-  /** Time on the own monotonic clock at which the copy is known to have been current. */
+  /** Latest time, on the local monotonic clock, at which the copy was proven to be current. */
   get provenAt(): number {
     return this.#provenAt;
   }
 
   open(): void {
     this.#store.add(this.#options.timer.every(RENEWAL_INTERVAL_MS, () => this.renew()));
-    this.#store.add(this.#options.timer.every(RENEWAL_INTERVAL_MS / 2, () => this.#watch()));
+    this.#store.add(
+      this.#options.timer.every(RENEWAL_INTERVAL_MS / 2, () => this.#updateFreshness()),
+    );
     this.#dialer.open();
   }
 
   /** Sends a call to the control group. */
-  call<Answer>(call: NodeCall, timeoutMs?: number): Promise<Result<Answer, Failure>> {
+  call<Reply>(call: NodeCall, timeoutMs?: number): Promise<Result<Reply, Failure>> {
     const { link } = this.#dialer;
     if (!link) {
       const notRun = { notRun: true };
       return Promise.resolve(fail(linkCodes.linkLost, 'no control replica is connected', notRun));
     }
-    return link.call<Answer>(call, timeoutMs);
+    return link.call<Reply>(call, timeoutMs);
   }
 
-  /** Renews the proof of freshness now, and tells the state of the member. */
+  /** Requests a renewal of the freshness lease and reports the state of the member. */
   renew(): void {
     const { timer, member, appliedIndex } = this.#options;
     const sentAt = timer.now();
@@ -133,8 +139,8 @@
     this.#dialer.link?.send({ type: 'renew', sentAt, applied, state: member?.().state });
   }
 
-  /** Tells the members that depend on this copy, whole. */
-  relay(members: readonly Member[]): void {
+  /** Sends the full list of members that are connected through this process. */
+  relayMembers(members: readonly Member[]): void {
     this.#dialer.link?.send({ type: 'relayed', members: [...members] });
   }
 
@@ -142,7 +148,7 @@
     this.#store[Symbol.dispose]();
   }
 
-  #greet(link: ControlLink): void {
+  #sendHello(link: ControlLink): void {
     const { group, process, incarnation, dataCentre, member } = this.#options;
     link.onMessage = (message) => this.#handle(message);
     const applied = this.state.index;
@@ -159,17 +165,17 @@
         else this.#dialer.link?.[Symbol.dispose]();
         break;
       case 'snapshot':
-        if (this.state.restore(message.state)) this.#changed('snapshot');
+        if (this.state.restore(message.state)) this.#handleStateChange('snapshot');
         break;
       case 'changes':
         this.state.apply(message.index, message.changes);
-        this.#changed(message.changes);
+        this.#handleStateChange(message.changes);
         break;
       case 'members':
         this.#applyMembers(message);
         break;
       case 'renewal':
-        this.#renewed(message);
+        this.#handleRenewal(message);
         break;
       case 'order':
         this.onOrder(message);
@@ -179,7 +185,7 @@
     }
   }
 
-  #changed(changes: readonly FeedChange[] | 'snapshot'): void {
+  #handleStateChange(changes: readonly FeedChange[] | 'snapshot'): void {
     const { journal } = this.#options;
     if (changes === 'snapshot' || changes.some(({ type }) => type === 'configured')) {
       journal.record(feedEvents.configurationApplied, { revision: this.state.revision });
@@ -189,32 +195,32 @@
         journal.record(feedEvents.keyWithdrawn, { key: change.key });
     }
     this.onChange(changes);
-    // Tells the group at once that the change is applied, so that it counts as in force.
+    // Reports the applied index at once, so that the control group can count the change as in force.
     this.renew();
   }
 
   #applyMembers({ whole, changed, removed }: MembersMessage): void {
     const present = new Set(changed.map(({ endpoint }) => endpoint));
-    const gone = whole
+    const removedEndpoints = whole
       ? [...this.members.keys()].filter((endpoint) => !present.has(endpoint))
       : removed;
     for (const member of changed) this.members.set(member.endpoint, member);
-    for (const endpoint of gone) this.members.delete(endpoint);
-    this.onMembers(changed, gone);
+    for (const endpoint of removedEndpoints) this.members.delete(endpoint);
+    this.onMembersChange(changed, removedEndpoints);
   }
 
-  #renewed(renewal: Extract<ControlMessage, { type: 'renewal' }>): void {
+  #handleRenewal(renewal: Extract<ControlMessage, { type: 'renewal' }>): void {
     if (this.state.index < renewal.index) return;
     this.#provenAt = Math.max(this.#provenAt, renewal.sentAt);
-    this.#watch();
+    this.#updateFreshness();
   }
 
-  #watch(): void {
+  #updateFreshness(): void {
     const { isFresh } = this;
     if (isFresh === this.#wasFresh) return;
     this.#wasFresh = isFresh;
     const event = isFresh ? feedEvents.freshnessGained : feedEvents.freshnessLost;
     this.#options.journal.record(event, { index: this.state.index });
-    this.onFreshness(isFresh);
+    this.onFreshnessChange(isFresh);
   }
 }
--- a/packages/sidecar/src/lib/EngineRun.ts
+++ b/packages/sidecar/src/lib/EngineRun.ts
@@ -1,38 +1,41 @@
 import { Client, type Dispatcher, type Pool } from 'undici';
 import { noWork, type Dispatch, type Work } from '@berylwood/schema';
-import { CONNECT_TIMEOUT_MS, isGone, isUnreached } from './connection';
-import { EndpointError, type AnswerSink, type EndpointFault } from './Endpoint';
-import { keepAnswerHeaders } from './headers';
+import { CONNECT_TIMEOUT_MS, isNotListening, isUnreached } from './connection';
+import { EndpointError, type ResponseSink, type EndpointFault } from './Endpoint';
+import { filterResponseHeaders } from './headers';
 import { UsageReader } from './UsageReader';
 
-type Answer = Dispatcher.ResponseData;
+type EngineResponse = Dispatcher.ResponseData;
 
-/** Silence of a stream after which it is resumed on a new connection, in milliseconds. */
-const SILENCE_MS = 2000;
+/** Time without data after which a stream counts as stalled and is resumed on a new connection. */
+const STALL_TIMEOUT_MS = 2000;
 
-/** Longest silence after resumptions that brought nothing: the engine itself is slow then. */
-const MAX_SILENCE_MS = 16_000;
+/**
+ * Upper limit of the stall timeout. The timeout doubles after each resumption without a new token,
+ * because the engine itself may be slow.
+ */
+const MAX_STALL_TIMEOUT_MS = 16_000;
 
-/** Resumptions without a new token after which the run has failed. */
+/** Consecutive resumptions without a new token after which the run fails. */
 const MAX_IDLE_RESUMPTIONS = 20;
 
 const NOT_FOUND = 404;
 
-/** The engine does not know the stream any more: it was restarted, or has dropped it. */
+/** The engine no longer has the stream, because it restarted or discarded the stream. */
 class StreamLostError extends Error {}
 
-/** What a run needs to know of its engine. @internal */
+/** Connection pool and state of an engine, as a run uses them. @internal */
 export interface Engine {
   readonly pool: Pool;
   readonly address: string;
-  /** Restarts noticed so far. */
+  /** Number of restarts detected so far. */
   readonly restarts: number;
   load(): Promise<unknown>;
 }
 
 /**
- * One run on a model engine. A stream whose connection breaks or falls silent is resumed by its id
- * and the number of tokens received, on a new connection.
+ * Runs one attempt on a model engine. A stream whose connection is lost or stalls is resumed on a
+ * new connection, by its id and the number of tokens received.
  * @internal
  */
 export class EngineRun {
@@ -42,18 +45,18 @@
 
   readonly #dispatch: Dispatch;
 
-  readonly #sink: AnswerSink;
+  readonly #sink: ResponseSink;
 
   readonly #signal: AbortSignal;
 
   #reader: UsageReader | undefined;
 
-  /** Bytes of a resumed stream that were received before. */
-  #skip = 0;
+  /** Bytes at the start of a resumed stream that were already received and are skipped. */
+  #bytesToSkip = 0;
 
   #isStream = false;
 
-  constructor(engine: Engine, dispatch: Dispatch, sink: AnswerSink, signal: AbortSignal) {
+  constructor(engine: Engine, dispatch: Dispatch, sink: ResponseSink, signal: AbortSignal) {
     this.#engine = engine;
     this.#restarts = engine.restarts;
     this.#dispatch = dispatch;
@@ -83,18 +86,18 @@
       body: Buffer.from(dispatch.body),
       signal: this.#signal,
       headersTimeout: 0,
-      bodyTimeout: SILENCE_MS,
+      bodyTimeout: STALL_TIMEOUT_MS,
     });
-    this.#sink.head(answer.statusCode, keepAnswerHeaders(answer.headers));
+    this.#sink.head(answer.statusCode, filterResponseHeaders(answer.headers));
     const contentType = String(answer.headers['content-type'] ?? '');
     this.#isStream = contentType.startsWith('text/event-stream');
     this.#reader = new UsageReader(contentType);
     await this.#read(answer);
   }
 
-  async #read(answer: Answer): Promise<void> {
+  async #read(answer: EngineResponse): Promise<void> {
     for await (const data of answer.body) {
-      const chunk = this.#withoutRepetition(data as Buffer);
+      const chunk = this.#dropReceivedBytes(data as Buffer);
       if (chunk.length === 0) continue;
       this.#reader?.read(chunk);
       const isFull = this.#sink.data(chunk, this.#reader?.tokens ?? 0);
@@ -102,21 +105,21 @@
     }
   }
 
-  #withoutRepetition(chunk: Buffer): Buffer {
-    if (this.#skip === 0) return chunk;
-    const skipped = Math.min(this.#skip, chunk.length);
-    this.#skip -= skipped;
+  #dropReceivedBytes(chunk: Buffer): Buffer {
+    if (this.#bytesToSkip === 0) return chunk;
+    const skipped = Math.min(this.#bytesToSkip, chunk.length);
+    this.#bytesToSkip -= skipped;
     return chunk.subarray(skipped);
   }
 
   async #recover(first: unknown): Promise<void> {
     let error = first;
     for (let idle = 0; idle < MAX_IDLE_RESUMPTIONS; idle += 1) {
-      const fault = await this.#faultOf(error);
+      const fault = await this.#classifyError(error);
       if (fault) throw new EndpointError(fault, this.#reader?.work ?? noWork, error);
       const before = this.#reader?.tokens;
       try {
-        await this.#resume(Math.min(MAX_SILENCE_MS, SILENCE_MS * 2 ** idle));
+        await this.#resume(Math.min(MAX_STALL_TIMEOUT_MS, STALL_TIMEOUT_MS * 2 ** idle));
         return;
       } catch (next) {
         error = next;
@@ -126,13 +129,13 @@
     throw new EndpointError('failed', this.#reader?.work ?? noWork, error);
   }
 
-  /** The fault when the run can not go on; undefined when the stream may be resumed. */
-  async #faultOf(error: unknown): Promise<EndpointFault | undefined> {
+  /** Returns the fault that ends the run, or undefined if the stream can be resumed. */
+  async #classifyError(error: unknown): Promise<EndpointFault | undefined> {
     if (this.#signal.aborted) return 'failed';
     if (error instanceof StreamLostError)
       return (await this.#hasRestarted()) ? 'crashed' : 'failed';
     if (!this.#reader && isUnreached(error)) return 'unreached';
-    if (await isGone(this.#engine.address)) return 'crashed';
+    if (await isNotListening(this.#engine.address)) return 'crashed';
     return this.#isStream ? undefined : 'failed';
   }
 
@@ -141,9 +144,9 @@
     return this.#engine.restarts > this.#restarts;
   }
 
-  async #resume(silenceMs: number): Promise<void> {
+  async #resume(stallTimeoutMs: number): Promise<void> {
     const { tokens = 0, bytesAfterToken = 0 } = this.#reader ?? {};
-    this.#skip = bytesAfterToken;
+    this.#bytesToSkip = bytesAfterToken;
     const form = this.#dispatch.path.includes('/chat/') ? 'chat' : 'text';
     const client = new Client(`http://${this.#engine.address}`, {
       connect: { timeout: CONNECT_TIMEOUT_MS },
@@ -153,8 +156,8 @@
         method: 'GET',
         path: `/v1/streams/${this.#dispatch.attempt}?offset=${tokens}&form=${form}`,
         signal: this.#signal,
-        headersTimeout: SILENCE_MS,
-        bodyTimeout: silenceMs,
+        headersTimeout: STALL_TIMEOUT_MS,
+        bodyTimeout: stallTimeoutMs,
       });
       if (answer.statusCode === NOT_FOUND) throw new StreamLostError('no such stream');
       await this.#read(answer);
--- a/packages/sidecar/src/lib/LoadMonitor.ts
+++ b/packages/sidecar/src/lib/LoadMonitor.ts
@@ -4,10 +4,13 @@
 import { isUnreached } from './connection';
 import type { Endpoint, EndpointLoad } from './Endpoint';
 
-const INTERVAL_MS = 250;
+const POLL_INTERVAL_MS = 250;
 const MS_PER_S = 1000;
 
-/** Joins the endpoint's own load report with what the sidecar knows, at a fixed interval. @public */
+/**
+ * Polls the load of the endpoint at a fixed interval and combines it with the load of the sidecar.
+ * @public
+ */
 export class LoadMonitor implements Disposable {
   onLoad: (load: Load) => void = () => {};
 
@@ -47,13 +50,13 @@
     };
   }
 
-  /** Whether the last try to reach the endpoint made no connection. */
+  /** Whether the last attempt to connect to the endpoint failed. */
   get isDown(): boolean {
     return this.#isDown;
   }
 
   open(): void {
-    this.#store.add(this.#timer.every(INTERVAL_MS, () => this.#poll()));
+    this.#store.add(this.#timer.every(POLL_INTERVAL_MS, () => this.#poll()));
   }
 
   [Symbol.dispose](): void {
@@ -63,14 +66,14 @@
   #poll(): void {
     this.#endpoint
       .load()
-      .then((report) => this.#take(report))
+      .then((report) => this.#applyReport(report))
       .catch((error: unknown) => {
         this.#isDown = isUnreached(error);
       })
-      .finally(() => this.push());
+      .finally(() => this.publish());
   }
 
-  #take(report: EndpointLoad | undefined): void {
+  #applyReport(report: EndpointLoad | undefined): void {
     this.#isDown = false;
     if (!report) return;
     const now = this.#timer.now();
@@ -83,8 +86,8 @@
     this.#reportedAt = now;
   }
 
-  /** Tells the load now. */
-  push(): void {
+  /** Publishes the current load. */
+  publish(): void {
     this.onLoad(this.current);
   }
 }
--- a/packages/sidecar/src/lib/OrderGate.ts
+++ b/packages/sidecar/src/lib/OrderGate.ts
@@ -4,76 +4,76 @@
 import type { Endpoint } from './Endpoint';
 import { sidecarEvents } from './events';
 
-/** What the gate needs of the subscription. */
-type Group = Pick<Subscription, 'isFresh' | 'state' | 'call'>;
+/** Parts of the subscription that the gate uses. */
+type ControlGroup = Pick<Subscription, 'isFresh' | 'state' | 'call'>;
 
-interface OrderAnswer {
+interface OrderReply {
   readonly accepted: boolean;
   readonly message: string;
 }
 
-/** Orders remembered, so that a repeated one is not passed on again. */
-const KEPT_ORDERS = 1000;
+/** Number of orders whose replies are kept, so that a repeated order is not forwarded again. */
+const MAX_REMEMBERED_ORDERS = 1000;
 
-const MAX_MESSAGE = 1024;
+const MAX_MESSAGE_LENGTH = 1024;
 
 /**
- * Passes orders of the control group to the endpoint. It refuses an order with an older fencing
- * number than the greatest known, as some engines do not check, and passes none while it has no
- * proof that the number it knows is the present one.
+ * Forwards orders of the control group to the endpoint. Rejects an order whose fence is lower than
+ * the highest fence received, because some engines do not check it. Forwards nothing without a
+ * freshness lease, because the fence of this process may then be outdated.
  * @internal
  */
 export class OrderGate {
-  readonly #group: Group;
+  readonly #group: ControlGroup;
 
   readonly #endpoint: Endpoint;
 
   readonly #journal: Journal;
 
-  readonly #answers = new Map<OrderId, Promise<OrderAnswer>>();
+  readonly #replies = new Map<OrderId, Promise<OrderReply>>();
 
   #fence = 0;
 
-  constructor(group: Group, endpoint: Endpoint, journal: Journal) {
+  constructor(group: ControlGroup, endpoint: Endpoint, journal: Journal) {
     this.#group = group;
     this.#endpoint = endpoint;
     this.#journal = journal;
   }
 
-  /** Takes an order and tells the group what became of it. */
-  async take(order: EndpointOrder): Promise<void> {
+  /** Forwards or rejects an order and reports the outcome to the control group. */
+  async handleOrder(order: EndpointOrder): Promise<void> {
     const { isFresh, state } = this.#group;
-    // Without the present number the order can not be judged; the leader sends it again.
+    // Without a current fence the order can not be checked. The leader sends it again.
     if (!isFresh) return;
     this.#fence = Math.max(this.#fence, state.fence);
-    const answer = await this.#answerTo(order);
+    const answer = await this.#replyTo(order);
     await this.#group.call({ type: 'orderAnswer', order: order.order, ...answer });
   }
 
-  #answerTo(order: EndpointOrder): Promise<OrderAnswer> {
-    const known = this.#answers.get(order.order);
+  #replyTo(order: EndpointOrder): Promise<OrderReply> {
+    const known = this.#replies.get(order.order);
     if (known) return known;
-    if (order.fence < this.#fence) return Promise.resolve(this.#refuse(order));
+    if (order.fence < this.#fence) return Promise.resolve(this.#reject(order));
     this.#fence = order.fence;
-    const answer = this.#pass(order);
-    this.#answers.set(order.order, answer);
-    const [oldest] = this.#answers.keys();
-    if (this.#answers.size > KEPT_ORDERS && oldest) this.#answers.delete(oldest);
+    const answer = this.#forward(order);
+    this.#replies.set(order.order, answer);
+    const [oldest] = this.#replies.keys();
+    if (this.#replies.size > MAX_REMEMBERED_ORDERS && oldest) this.#replies.delete(oldest);
     return answer;
   }
 
-  #refuse({ order, fence }: EndpointOrder): OrderAnswer {
+  #reject({ order, fence }: EndpointOrder): OrderReply {
     this.#journal.record(sidecarEvents.orderRefused, { order, fence, known: this.#fence });
     return { accepted: false, message: `the fencing number ${fence} is older than ${this.#fence}` };
   }
 
-  async #pass({ order, fence, action }: EndpointOrder): Promise<OrderAnswer> {
+  async #forward({ order, fence, action }: EndpointOrder): Promise<OrderReply> {
     this.#journal.record(sidecarEvents.orderPassed, { order, fence, type: action.type });
     try {
       const { accepted, message } = await this.#endpoint.order(order, fence, action);
-      return { accepted, message: message.slice(0, MAX_MESSAGE) };
+      return { accepted, message: message.slice(0, MAX_MESSAGE_LENGTH) };
     } catch (error) {
-      return { accepted: false, message: String(error).slice(0, MAX_MESSAGE) };
+      return { accepted: false, message: String(error).slice(0, MAX_MESSAGE_LENGTH) };
     }
   }
 }
--- a/packages/sidecar/src/lib/OutcomeReporter.ts
+++ b/packages/sidecar/src/lib/OutcomeReporter.ts
@@ -15,18 +15,21 @@
 
 type Report = Extract<NodeCall, { type: 'settle' | 'suspect' | 'clear' }>;
 
-/** Time in which the attempts that one crash cuts are gathered into one report, in milliseconds. */
-const CRASH_WINDOW_MS = 20;
+/** Time for which attempts that one crash interrupted are batched into one report. */
+const CRASH_BATCH_MS = 20;
 
-const RETRY_MS = 200;
+const RETRY_DELAY_MS = 200;
 
-/** Reports held while no control replica answers; the oldest are dropped first. */
-const MAX_PENDING = 10_000;
+/** Maximum number of reports kept while no control replica replies; the oldest are dropped first. */
+const MAX_PENDING_REPORTS = 10_000;
 
-/** Largest number of fingerprints in one report. */
+/** Maximum number of fingerprints in one report. */
 const MAX_FINGERPRINTS = 64;
 
-/** Hands outcomes of calls with a claim, suspects and cleared fingerprints to the control group. @internal */
+/**
+ * Reports outcomes of calls with a claim, suspects and cleared fingerprints to the control group.
+ * @internal
+ */
 export class OutcomeReporter implements Disposable {
   readonly #options: OutcomeReporterOptions;
 
@@ -44,27 +47,27 @@
     this.#options = options;
   }
 
-  /** Reports that the control group has not confirmed. */
+  /** Number of reports that the control group has not confirmed. */
   get pendingCount(): number {
     return this.#pending.length + this.#suspects.size;
   }
 
-  /** The endpoint crashed while it held this content. */
+  /** Reports a request as suspect because the endpoint crashed while it ran it. */
   suspect(fingerprint: string): void {
     if (this.#suspects.size === 0) {
-      this.#options.timer.after(CRASH_WINDOW_MS, () => this.#reportSuspects());
+      this.#options.timer.after(CRASH_BATCH_MS, () => this.#reportSuspects());
     }
     this.#suspects.add(fingerprint);
   }
 
-  /** The content of a suspect has run whole. */
+  /** Reports that a suspect has run to completion. */
   clear(fingerprint: string): void {
     this.#add({ type: 'clear', fingerprint });
   }
 
-  /** Stores the outcome of a call with a claim. */
-  settle({ dispatch, copy, lifecycle }: Attempt): void {
-    if (dispatch.claim === undefined || !copy) return;
+  /** Reports the outcome of a call with a claim; other attempts are ignored. */
+  settle({ dispatch, responseCopy, lifecycle }: Attempt): void {
+    if (dispatch.claim === undefined || !responseCopy) return;
     const { notRun } = lifecycle.note;
     const outcomes = { true: 'notRun', false: 'ran', unknown: 'unknown' } as const;
     this.#add({
@@ -72,11 +75,11 @@
       workspace: dispatch.workspace,
       idempotencyKey: dispatch.claim,
       request: dispatch.request,
-      // A broken answer says too little about the effect of the call.
+      // An incomplete response does not show whether the call took effect.
       outcome: lifecycle.state === 'whole' ? 'ran' : outcomes[`${notRun}`],
-      status: copy.status,
-      headers: copy.headers,
-      body: copy.body,
+      status: responseCopy.status,
+      headers: responseCopy.headers,
+      body: responseCopy.body,
     });
   }
 
@@ -96,7 +99,7 @@
 
   #add(report: Report): void {
     this.#pending.push(report);
-    if (this.#pending.length > MAX_PENDING) this.#pending.shift();
+    if (this.#pending.length > MAX_PENDING_REPORTS) this.#pending.shift();
     this.#send().catch(() => {});
   }
 
@@ -107,7 +110,7 @@
       const [report] = this.#pending;
       const answer = await this.#options.subscription.call(report);
       if (answer.isOk()) this.#pending.shift();
-      else await this.#options.timer.sleep(RETRY_MS);
+      else await this.#options.timer.sleep(RETRY_DELAY_MS);
     }
     this.#isSending = false;
   }
--- a/packages/sidecar/src/lib/ServiceEndpoint.ts
+++ b/packages/sidecar/src/lib/ServiceEndpoint.ts
@@ -1,16 +1,16 @@
 import { Pool } from 'undici';
 import { noWork, type Dispatch, type Work } from '@berylwood/schema';
-import { CONNECT_TIMEOUT_MS, isCut, isUnreached, probe } from './connection';
+import { CONNECT_TIMEOUT_MS, isConnectionLost, isUnreached, probeConnection } from './connection';
 import {
   Endpoint,
   EndpointError,
-  type AnswerSink,
+  type ResponseSink,
   type EndpointFault,
   type OrderOutcome,
 } from './Endpoint';
-import { keepAnswerHeaders } from './headers';
+import { filterResponseHeaders } from './headers';
 
-/** Plain HTTP service; it reports no load. @public */
+/** Plain HTTP service, which reports no load. @public */
 export class ServiceEndpoint extends Endpoint implements Disposable {
   readonly #pool: Pool;
 
@@ -23,17 +23,17 @@
     this.#pool = new Pool(`http://${address}`, { connections: slots, connect });
   }
 
-  override async run(dispatch: Dispatch, sink: AnswerSink, signal: AbortSignal): Promise<Work> {
+  override async run(dispatch: Dispatch, sink: ResponseSink, signal: AbortSignal): Promise<Work> {
     try {
       await this.#call(dispatch, sink, signal);
       return noWork;
     } catch (error) {
-      throw new EndpointError(faultOf(error), noWork, error);
+      throw new EndpointError(classifyError(error), noWork, error);
     }
   }
 
   override async cancel(): Promise<void> {
-    // The aborted connection is all that a plain service is told.
+    // A plain service has no cancel request; aborting the connection has to suffice.
   }
 
   override async order(): Promise<OrderOutcome> {
@@ -41,7 +41,7 @@
   }
 
   override async load(): Promise<undefined> {
-    await probe(this.#address);
+    await probeConnection(this.#address);
     return undefined;
   }
 
@@ -49,25 +49,26 @@
     this.#pool.destroy().catch(() => {});
   }
 
-  async #call(dispatch: Dispatch, sink: AnswerSink, signal: AbortSignal): Promise<void> {
+  async #call(dispatch: Dispatch, sink: ResponseSink, signal: AbortSignal): Promise<void> {
     const answer = await this.#pool.request({
       method: dispatch.method,
       path: dispatch.path,
       headers: dispatch.headers,
       body: dispatch.body.length > 0 ? Buffer.from(dispatch.body) : null,
       signal,
-      // A kept connection may be closed just as a call is written, and a call can not be repeated.
+      // The service may close a persistent connection just as a call is written to it, and a call
+      // that is not idempotent can not be retried.
       reset: !dispatch.idempotent,
       headersTimeout: 0,
       bodyTimeout: 0,
     });
-    sink.head(answer.statusCode, keepAnswerHeaders(answer.headers));
+    sink.head(answer.statusCode, filterResponseHeaders(answer.headers));
     for await (const chunk of answer.body) await sink.data(chunk as Buffer, 0);
   }
 }
 
-/** A service can not be asked about a call, so a cut connection counts as a crash. */
-function faultOf(error: unknown): EndpointFault {
+/** A lost connection counts as a crash, because a service can not be queried about a call. */
+function classifyError(error: unknown): EndpointFault {
   if (isUnreached(error)) return 'unreached';
-  return isCut(error) ? 'crashed' : 'failed';
+  return isConnectionLost(error) ? 'crashed' : 'failed';
 }
--- a/packages/sidecar/src/lib/connection.ts
+++ b/packages/sidecar/src/lib/connection.ts
@@ -1,34 +1,34 @@
 import { connect } from 'node:net';
 import { splitAddress } from '@berylwood/link';
 
-/** Time for a connection to the endpoint on the same instance, in milliseconds. */
+/** Timeout for connecting to the endpoint on the same instance. */
 export const CONNECT_TIMEOUT_MS = 2000;
 
-/** Codes of errors that came before a connection was made. */
-const UNREACHED = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ETIMEDOUT']);
+/** Codes of errors that occur before a connection is established. */
+const UNREACHED_CODES = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ETIMEDOUT']);
 
-function codeOf(error: unknown): string {
+function errorCode(error: unknown): string {
   return String((error as NodeJS.ErrnoException).code ?? '');
 }
 
 /** Whether the error proves that no byte of the request was sent. @internal */
 export function isUnreached(error: unknown): boolean {
   const { syscall } = error as NodeJS.ErrnoException;
-  if (codeOf(error) === 'UND_ERR_CONNECT_TIMEOUT') return true;
-  return syscall === 'connect' && UNREACHED.has(codeOf(error));
+  if (errorCode(error) === 'UND_ERR_CONNECT_TIMEOUT') return true;
+  return syscall === 'connect' && UNREACHED_CODES.has(errorCode(error));
 }
 
-/** Whether the other end closed or reset the connection. @internal */
-export function isCut(error: unknown): boolean {
-  return ['ECONNRESET', 'EPIPE', 'UND_ERR_SOCKET'].includes(codeOf(error));
+/** Whether the peer closed or reset the connection. @internal */
+export function isConnectionLost(error: unknown): boolean {
+  return ['ECONNRESET', 'EPIPE', 'UND_ERR_SOCKET'].includes(errorCode(error));
 }
 
 /**
- * Makes a connection and closes it.
- * @throws the error of the connection.
+ * Opens a connection and closes it again.
+ * @throws the connection error.
  * @internal
  */
-export function probe(address: string): Promise<void> {
+export function probeConnection(address: string): Promise<void> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve, reject) => {
     const socket = connect({ host, port, timeout: CONNECT_TIMEOUT_MS });
@@ -41,10 +41,10 @@
   });
 }
 
-/** Whether nothing listens on the address any more. @internal */
-export async function isGone(address: string): Promise<boolean> {
+/** Whether a connection probe shows that nothing listens on the address. @internal */
+export async function isNotListening(address: string): Promise<boolean> {
   try {
-    await probe(address);
+    await probeConnection(address);
     return false;
   } catch (error) {
     return isUnreached(error);
