--- a/packages/control/bench/control.ts
+++ b/packages/control/bench/control.ts
@@ -26,7 +26,7 @@
 const RENEWALS_MS = 4000;
 const COMMANDS = 100_000;
 const RECORD_BYTES = 300;
-const CALL_MS = 10_000;
+const CALL_TIMEOUT_MS = 10_000;
 
 const timer = new SystemTimer();
 const journal = createSilentJournal(timer);
@@ -46,8 +46,8 @@
 }
 
 /** Synced appends a second of records of the size of a command. */
-function measureAppends(folder: string): { perSecond: number; p50Ms: number } {
-  const file = openSync(join(folder, 'appends'), 'a');
+function measureAppends(directory: string): { perSecond: number; p50Ms: number } {
+  const file = openSync(join(directory, 'appends'), 'a');
   const record = Buffer.alloc(RECORD_BYTES, 1);
   const times: number[] = [];
   const end = timer.now() + RUN_MS / 2;
@@ -77,7 +77,7 @@
       billable: true,
     };
     const batch = { endpoint: asId<'endpoint'>('engine-1'), incarnation, records: [record] };
-    return subscription.call<number>({ type: 'meter', batch }, CALL_MS);
+    return subscription.call<number>({ type: 'meter', batch }, CALL_TIMEOUT_MS);
   };
 }
 
@@ -108,7 +108,7 @@
   const { replica } = await group.leader();
   const start = timer.now();
   await group.deployment.process(replica).kill();
-  await group.operators.ask((client) =>
+  await group.operators.call((client) =>
     client.intendOrder.mutate({
       change: createChangeId(),
       order: asId('ord-failover'),
@@ -123,17 +123,17 @@
 async function measureInForce(group: ReplicaGroup): Promise<number[]> {
   const times: number[] = [];
   for (let number = 0; number < CHANGES; number += 1) {
-    const { index, revision } = await group.operators.ask((client) => client.position.query());
+    const { index, revision } = await group.operators.call((client) => client.position.query());
     const customers = { acme: { plan: `p${number}` } };
     const configuration = { ...emptyConfiguration, customers };
     const input = { change: createChangeId(index), operator: 'bench', expected: revision };
-    const accepted = await group.operators.ask((client) =>
+    const accepted = await group.operators.call((client) =>
       client.applyPlans.mutate({ ...input, configuration }),
     );
     const start = timer.now();
     await until('the change is in force', async () => {
       const query = { index: accepted.index, timeoutMs: 5000 };
-      return (await group.operators.ask((client) => client.waitInForce.query(query))).inForce;
+      return (await group.operators.call((client) => client.waitInForce.query(query))).inForce;
     });
     times.push(timer.now() - start);
   }
--- a/packages/control/src/index.ts
+++ b/packages/control/src/index.ts
@@ -3,6 +3,6 @@
 export { Observer, type ObserverOptions } from './lib/Observer';
 export { controlCodes } from './lib/codes';
 export { controlEvents } from './lib/events';
-export type { ForceReport } from './lib/InForceMonitor';
+export type { InForceReport } from './lib/InForceMonitor';
 export { hashSecret, type Position, type StatusReport } from './lib/OperatorService';
 export type { OperatorRouter } from './lib/operatorRouter';
--- a/packages/control/src/lib/Control.process.test.ts
+++ b/packages/control/src/lib/Control.process.test.ts
@@ -8,10 +8,10 @@
 import { startGroup, type ReplicaGroup } from '../testing/startGroup';
 
 /** Limit of a change of leader while many tests share the machine. */
-const CHANGE_LIMIT_MS = 40_000;
+const LEADER_CHANGE_TIMEOUT_MS = 40_000;
 
 /** Time in which an order sets out, shorter than its deadline. */
-const SENDING_MS = 120;
+const ORDER_SEND_MS = 120;
 
 /** Longer than the lease and the election timeout together. */
 const FAULT_MS = 2500;
@@ -29,14 +29,14 @@
 async function replaceLeader(
   group: ReplicaGroup,
   fault: (name: string) => void,
-  hold: (name: string) => void = (name) => group.cutPlatform(name),
+  hold: (name: string) => void = (name) => group.partitionFromPlatform(name),
 ): Promise<string> {
   const before = await group.leader();
   hold(before.replica);
-  await sleep(SENDING_MS);
+  await sleep(ORDER_SEND_MS);
   fault(before.replica);
   const isReplaced = async () => (await group.leader()).fence > before.fence;
-  await until('another replica leads', isReplaced, CHANGE_LIMIT_MS);
+  await until('another replica leads', isReplaced, LEADER_CHANGE_TIMEOUT_MS);
   return before.replica;
 }
 
@@ -58,9 +58,9 @@
     group.heal(frozen);
     deployment.process(frozen).thaw();
     await sleep(500);
-    const cut = await replaceLeader(group, (name) => group.cut(name));
+    const partitioned = await replaceLeader(group, (name) => group.partition(name));
     await sleep(FAULT_MS);
-    group.heal(cut);
+    group.heal(partitioned);
     await sleep(500);
     const kill = (name: string): void => deployment.process(name).signal('SIGKILL');
     const killed = await replaceLeader(group, kill, hold);
@@ -70,25 +70,25 @@
     await workload.stop();
 
     await until('all accepted orders are answered', async () => {
-      const orders = await operators.ask((client) => client.orders.query());
+      const orders = await operators.call((client) => client.orders.query());
       const answered = new Set(
         orders.filter(({ step }) => step === 'answered').map((o) => o.order),
       );
       return workload.accepted.every((order) => answered.has(order as never));
     });
     await until('all usage is reported', async () => {
-      const windows = await operators.ask((client) => client.windows.query());
-      const open = await operators.ask((client) => client.usage.query());
+      const windows = await operators.call((client) => client.windows.query());
+      const open = await operators.call((client) => client.usage.query());
       return open.length === 0 && windows.every(({ state }) => state === 'reported');
     });
     const history = await deployment.history('platform');
     assert.deepEqual(checkFences('platform', history), []);
     assert.deepEqual(checkWindows(history), []);
-    const given = new Set(
+    const sentOrders = new Set(
       history.filter(({ kind }) => kind === 'order').map((r) => r.fields.order),
     );
     assert.ok(
-      workload.accepted.every((order) => given.has(order)),
+      workload.accepted.every((order) => sentOrders.has(order)),
       'each accepted order was given',
     );
     const reports = new Map(
@@ -104,7 +104,7 @@
     );
     assert.equal(
       tokens.reduce((sum, count) => sum + count, 0),
-      workload.counted,
+      workload.acknowledgedTokens,
     );
   } finally {
     await group.deployment.close();
@@ -118,7 +118,7 @@
     const workload = new GroupWorkload(operators, group.nodeAddresses);
     workload.start();
     await sleep(300);
-    const membership = () => operators.ask((client) => client.replicas.query());
+    const membership = () => operators.call((client) => client.replicas.query());
     // A founder admits the others one by one; until then the loss of a disk can end the group.
     await until('the group has its three voters', async () => {
       const { members } = await membership();
@@ -143,7 +143,7 @@
     await sleep(300);
     await workload.stop();
 
-    const orders = await operators.ask((client) => client.orders.query());
+    const orders = await operators.call((client) => client.orders.query());
     const known = new Set<string>(orders.map(({ order }) => order));
     assert.ok(workload.accepted.length > 0);
     assert.ok(
@@ -161,12 +161,12 @@
   const { operators } = group;
   const won: number[] = [];
   while (won.length < count) {
-    const { index, revision: expected } = await operators.ask((client) => client.position.query());
+    const { index, revision: expected } = await operators.call((client) => client.position.query());
     const change = createChangeId(index);
     const customers = { [operator]: { plan: String(won.length) } };
     const configuration = { ...emptyConfiguration, customers };
     const input = { change, operator, expected, configuration };
-    const send = () => operators.ask((client) => client.applyPlans.mutate(input));
+    const send = () => operators.call((client) => client.applyPlans.mutate(input));
     // Each change is sent a second time, as after a lost answer.
     const [first, second] = await Promise.allSettled([send(), send()]);
     assert.equal(first.status, second.status);
@@ -190,7 +190,7 @@
     group.deployment.process(replica).start();
     const won = (await Promise.all(races)).flat();
     assert.equal(new Set(won).size, won.length, 'no revision was given twice');
-    const history = await group.operators.ask((client) => client.history.query());
+    const history = await group.operators.call((client) => client.history.query());
     const revisions = history.map(({ revision }) => revision);
     assert.deepEqual(
       revisions,
@@ -214,7 +214,7 @@
     const child = deployment.process('control-1');
     await child.kill();
     child.start();
-    const keys = await group.operators.ask((client) => client.listKeys.query());
+    const keys = await group.operators.call((client) => client.listKeys.query());
     assert.deepEqual(
       keys.map((item) => item.key),
       [key],
--- a/packages/control/src/lib/Control.ts
+++ b/packages/control/src/lib/Control.ts
@@ -26,7 +26,7 @@
 
   readonly #options: ControlOptions;
 
-  readonly #links: LinkServer;
+  readonly #linkServer: LinkServer;
 
   readonly #transport: PeerTransport;
 
@@ -39,12 +39,12 @@
     this.#fail = reject;
   });
 
-  #operators: OperatorServer | undefined;
+  #operatorServer: OperatorServer | undefined;
 
   constructor(options: ControlOptions) {
     super();
     this.#options = options;
-    this.#links = new LinkServer(options.identity);
+    this.#linkServer = new LinkServer(options.identity);
     const { voters } = options.settings;
     const addresses = new Map(voters.map(({ replica, address }) => [replica, address]));
     this.#transport = this.store.add(
@@ -63,11 +63,11 @@
     const log = await openReplica({ settings, timer, journal, machine: ledger, transport });
     this.#log = log;
     const core = this.store.add(new ControlCore({ settings, timer, journal, log, ledger }));
-    transport.serve(this.#links);
-    core.open(this.#links);
-    this.#operators = new OperatorServer(core.service);
-    await this.#links.listen(settings.listen);
-    await this.#operators.listen(settings.operator);
+    transport.serve(this.#linkServer);
+    core.open(this.#linkServer);
+    this.#operatorServer = new OperatorServer(core.service);
+    await this.#linkServer.listen(settings.listen);
+    await this.#operatorServer.listen(settings.operator);
     this.store.add(timer.every(HEALTH_INTERVAL_MS, () => this.#checkHealth()));
     journal.record(controlEvents.controlListening, { listen: settings.listen });
   }
@@ -80,10 +80,10 @@
   /** Hands leadership over first, so that the group is not without a leader for an election. */
   override async stop(): Promise<void> {
     await this.#log?.transferLeadership();
-    await this.#operators?.close();
+    await this.#operatorServer?.close();
     await super.stop();
     await this.#log?.close();
-    await this.#links.close();
+    await this.#linkServer.close();
   }
 
   protected override handle(): void {
--- a/packages/control/src/lib/ControlCore.ts
+++ b/packages/control/src/lib/ControlCore.ts
@@ -3,14 +3,14 @@
 import type { Ledger } from '@berylwood/ledger';
 import type { LinkServer } from '@berylwood/link';
 import type { ControlSettings } from '@berylwood/schema';
-import { foundConfiguration } from './foundConfiguration';
+import { applyInitialConfiguration } from './applyInitialConfiguration';
 import { InForceMonitor } from './InForceMonitor';
 import { InstanceLister } from './InstanceLister';
 import { Leadership } from './Leadership';
 import { MemberTable } from './MemberTable';
 import { NodeServer } from './NodeServer';
 import { OperatorService } from './OperatorService';
-import { OrderGiver } from './OrderGiver';
+import { OrderSender } from './OrderSender';
 import { PlatformClient } from './PlatformClient';
 import { Proposer } from './Proposer';
 import { Publisher } from './Publisher';
@@ -39,7 +39,7 @@
 
   readonly #publisher: Publisher;
 
-  readonly #nodes: NodeServer;
+  readonly #nodeServer: NodeServer;
 
   constructor(options: ControlCoreOptions) {
     this.#options = options;
@@ -61,8 +61,8 @@
     const parts = { ...options, leadership, proposer, publisher, members, platform };
     const monitor = new InForceMonitor(parts);
     this.service = new OperatorService({ ...parts, monitor });
-    this.#nodes = new NodeServer(parts);
-    for (const Task of [OrderGiver, UsageReporter, InstanceLister]) {
+    this.#nodeServer = new NodeServer(parts);
+    for (const Task of [OrderSender, UsageReporter, InstanceLister]) {
       this.#store.add(new Task(parts)).open();
     }
   }
@@ -77,14 +77,14 @@
     };
     ledger.onRestore = () => publisher.publishSnapshot();
     this.#leadership.onEstablished = () => {
-      this.#lead();
+      this.#startLeading();
     };
     this.#leadership.onLost = () => {
-      this.#nodes.close();
+      this.#nodeServer.close();
       publisher.close();
       this.#members.clear();
     };
-    this.#nodes.serve(server);
+    this.#nodeServer.serve(server);
     this.#leadership.open();
   }
 
@@ -93,12 +93,12 @@
   }
 
   /** Takes in nodes once there is a configuration for them. */
-  async #lead(): Promise<void> {
+  async #startLeading(): Promise<void> {
     const { settings, ledger, journal } = this.#options;
     const { fence } = this.#leadership;
-    await foundConfiguration({ settings, ledger, journal, service: this.service });
+    await applyInitialConfiguration({ settings, ledger, journal, service: this.service });
     if (!this.#leadership.isLeading || this.#leadership.fence !== fence) return;
     this.#publisher.open();
-    this.#nodes.open();
+    this.#nodeServer.open();
   }
 }
--- a/packages/control/src/lib/InForceMonitor.ts
+++ b/packages/control/src/lib/InForceMonitor.ts
@@ -7,7 +7,7 @@
 import type { Publisher } from './Publisher';
 
 /** Whether a committed change is in force everywhere. @public */
-export interface ForceReport {
+export interface InForceReport {
   readonly index: number;
   readonly revision: number;
   readonly inForce: boolean;
@@ -35,7 +35,7 @@
   }
 
   /** Waits until the index is in force everywhere, or for the time given. */
-  async wait(index: number, timeoutMs: number): Promise<Result<ForceReport, Failure>> {
+  async wait(index: number, timeoutMs: number): Promise<Result<InForceReport, Failure>> {
     const { timer, journal, leadership } = this.#options;
     const deadline = timer.now() + timeoutMs;
     for (;;) {
@@ -53,7 +53,7 @@
     return publisher.pendingNodes(index);
   }
 
-  #report(index: number, pending: string[]): ForceReport {
+  #report(index: number, pending: string[]): InForceReport {
     const { revision } = this.#options.ledger.feed;
     return { index, revision, inForce: pending.length === 0, pending };
   }
--- a/packages/control/src/lib/Leadership.ts
+++ b/packages/control/src/lib/Leadership.ts
@@ -18,7 +18,7 @@
 }
 
 /** Wait before another try to take the fencing number. */
-const RETRY_MS = 50;
+const RETRY_DELAY_MS = 50;
 
 const machine = setup({
   types: { events: {} as { type: 'elected' } | { type: 'deposed' } | { type: 'fenced' } },
@@ -69,7 +69,7 @@
     const provided = machine.provide({
       actions: {
         takeFence: () => {
-          this.#takeFence(this.#term);
+          this.#acquireFence(this.#term);
         },
         established: () => this.#establish(),
         lost: () => this.#lose(),
@@ -83,8 +83,8 @@
     const { log } = this.#options;
     this.#actor.start();
     // The log tells of a change before its own status shows it.
-    log.onRole = () => queueMicrotask(() => this.#follow(log.status));
-    this.#follow(log.status);
+    log.onRole = () => queueMicrotask(() => this.#followRole(log.status));
+    this.#followRole(log.status);
   }
 
   /** Whether this replica leads, as far as it knows; an effect needs `mayAct`. */
@@ -123,7 +123,7 @@
     this.#actor.stop();
   }
 
-  #follow({ role, term }: LogStatus): void {
+  #followRole({ role, term }: LogStatus): void {
     if (role !== 'leader') {
       this.#actor.send({ type: 'deposed' });
       return;
@@ -133,7 +133,7 @@
     this.#actor.send({ type: 'elected' });
   }
 
-  async #takeFence(term: number): Promise<void> {
+  async #acquireFence(term: number): Promise<void> {
     const { proposer, timer, replica, windowMs, log } = this.#options;
     const isCurrent = (): boolean => log.status.role === 'leader' && log.status.term === term;
     while (isCurrent()) {
@@ -144,7 +144,7 @@
         this.#actor.send({ type: 'fenced' });
         return;
       }
-      await timer.sleep(RETRY_MS);
+      await timer.sleep(RETRY_DELAY_MS);
     }
   }
 
--- a/packages/control/src/lib/MemberTable.test.ts
+++ b/packages/control/src/lib/MemberTable.test.ts
@@ -41,7 +41,7 @@
   assert.deepEqual(listed.changes, ['live', 'leaving']);
 
   const ordered = createTable();
-  ordered.members.setStopped([asId('inc-1')]);
+  ordered.members.setStoppedIncarnations([asId('inc-1')]);
   assert.equal(ordered.members.members[0]?.state, 'leaving');
   ordered.members.announce(memberOf({ incarnation: asId('inc-2') }), 'sidecar');
   assert.equal(ordered.members.members[0]?.state, 'live');
--- a/packages/control/src/lib/MemberTable.ts
+++ b/packages/control/src/lib/MemberTable.ts
@@ -4,7 +4,7 @@
 /** Time for which a member stays known after the connection of its sidecar is lost. */
 const GRACE_MS = 5000;
 
-interface Announced {
+interface Announcement {
   readonly member: Member;
   /** Who announced it last: the process of the sidecar, or the observer before it. */
   readonly source: string;
@@ -22,7 +22,7 @@
 
   readonly #timer: Timer;
 
-  readonly #announced = new Map<EndpointId, Announced>();
+  readonly #announced = new Map<EndpointId, Announcement>();
 
   readonly #store = new DisposableStore();
 
@@ -33,7 +33,7 @@
   #listedLeaving = new Map<EndpointId, string>();
 
   /** Runs of sidecars whose endpoints the group has ordered to stop. */
-  #stopped = new Set<IncarnationId>();
+  #stoppedIncarnations = new Set<IncarnationId>();
 
   constructor(timer: Timer) {
     this.#timer = timer;
@@ -41,12 +41,12 @@
 
   /** Members with their joined state. */
   get members(): Member[] {
-    return [...this.#announced.values()].map(({ member }) => this.#join(member));
+    return [...this.#announced.values()].map(({ member }) => this.#mergeState(member));
   }
 
   find(endpoint: EndpointId): Member | undefined {
     const announced = this.#announced.get(endpoint);
-    return announced && this.#join(announced.member);
+    return announced && this.#mergeState(announced.member);
   }
 
   /** Process over whose connection the member was announced last. */
@@ -59,8 +59,8 @@
     const known = this.#announced.get(member.endpoint);
     if (known?.removal) this.#store.release(known.removal);
     this.#announced.set(member.endpoint, { member, source });
-    const before = known && this.#join(known.member);
-    const after = this.#join(member);
+    const before = known && this.#mergeState(known.member);
+    const after = this.#mergeState(member);
     this.#published.set(member.endpoint, after.state);
     if (JSON.stringify(before) !== JSON.stringify(after)) this.onChange([after], []);
   }
@@ -72,7 +72,7 @@
   withdraw(endpoint: EndpointId, source: string): void {
     const known = this.#announced.get(endpoint);
     if (!known || known.source !== source || known.removal) return;
-    if (this.#join(known.member).state === 'leaving') this.#remove(endpoint);
+    if (this.#mergeState(known.member).state === 'leaving') this.#remove(endpoint);
     else {
       const removal = this.#timer.after(GRACE_MS, () => this.#remove(endpoint));
       known.removal = this.#store.add(removal);
@@ -87,8 +87,8 @@
   }
 
   /** Takes the runs that the group's own orders stop. */
-  setStopped(incarnations: readonly IncarnationId[]): void {
-    this.#stopped = new Set(incarnations);
+  setStoppedIncarnations(incarnations: readonly IncarnationId[]): void {
+    this.#stoppedIncarnations = new Set(incarnations);
     this.#publishStates();
   }
 
@@ -97,7 +97,7 @@
     this.#store.clear();
     this.#announced.clear();
     this.#listedLeaving.clear();
-    this.#stopped.clear();
+    this.#stoppedIncarnations.clear();
     this.#published.clear();
   }
 
@@ -114,10 +114,10 @@
     if (changed.length > 0) this.onChange(changed, []);
   }
 
-  #join(member: Member): Member {
+  #mergeState(member: Member): Member {
     const isLeaving =
       this.#listedLeaving.get(member.endpoint) === member.instance ||
-      this.#stopped.has(member.incarnation);
+      this.#stoppedIncarnations.has(member.incarnation);
     return isLeaving ? { ...member, state: 'leaving' } : member;
   }
 
--- a/packages/control/src/lib/NodeServer.ts
+++ b/packages/control/src/lib/NodeServer.ts
@@ -9,7 +9,7 @@
 } from '@berylwood/schema';
 import { ok, type Result } from 'neverthrow';
 import { z } from 'zod';
-import type { Accepted, Proposer } from './Proposer';
+import type { AcceptedOutcome, Proposer } from './Proposer';
 import { controlCodes } from './codes';
 import { controlEvents } from './events';
 import type { Leadership } from './Leadership';
@@ -43,7 +43,7 @@
   #isOpen = false;
 
   /** Nodes that have greeted while this replica did not lead. */
-  readonly #waiting = new Map<NodeLink, Hello>();
+  readonly #pendingHellos = new Map<NodeLink, Hello>();
 
   /** Members last relayed by each observer. */
   readonly #relayed = new Map<NodeLink, Set<string>>();
@@ -58,15 +58,15 @@
     server.accept<ControlMessage, NodeMessage | NodeCall>(
       NODE_PATH,
       { timer, journal, schema: nodeSchema, keepAliveMs: NODE_KEEP_ALIVE_MS },
-      (link) => this.#welcome(link),
+      (link) => this.#handleConnection(link),
     );
   }
 
   /** Takes in nodes from now on, and those that wait, when this replica begins to lead. */
   open(): void {
     this.#isOpen = true;
-    for (const [link, hello] of this.#waiting) this.#join(link, hello);
-    this.#waiting.clear();
+    for (const [link, hello] of this.#pendingHellos) this.#join(link, hello);
+    this.#pendingHellos.clear();
   }
 
   /** Sends nodes on from now on. */
@@ -74,7 +74,7 @@
     this.#isOpen = false;
   }
 
-  #welcome(link: NodeLink): void {
+  #handleConnection(link: NodeLink): void {
     link.onMessage = (message) => this.#receive(link, message);
     link.onCall = (call) => this.#call(call);
     link.onClose = () => this.#leave(link);
@@ -84,7 +84,7 @@
     const { publisher, members } = this.#options;
     switch (message.type) {
       case 'hello':
-        this.#greet(link, message);
+        this.#handleHello(link, message);
         break;
       case 'renew': {
         const subscriber = publisher.find(link);
@@ -95,22 +95,22 @@
         break;
       }
       case 'relayed':
-        this.#relay(link, message.members);
+        this.#applyRelayed(link, message.members);
         break;
       default:
       // Calls come by `call`.
     }
   }
 
-  #greet(link: NodeLink, hello: Hello): void {
+  #handleHello(link: NodeLink, hello: Hello): void {
     const { timer } = this.#options;
     if (this.#isOpen) {
       this.#join(link, hello);
       return;
     }
-    this.#waiting.set(link, hello);
+    this.#pendingHellos.set(link, hello);
     timer.after(REDIRECT_DELAY_MS, () => {
-      if (this.#waiting.delete(link)) link.send({ type: 'redirect' });
+      if (this.#pendingHellos.delete(link)) link.send({ type: 'redirect' });
     });
   }
 
@@ -121,22 +121,25 @@
     journal.record(controlEvents.nodeJoined, { process: hello.process, applied: hello.applied });
   }
 
-  #relay(link: NodeLink, relayed: Extract<NodeMessage, { type: 'relayed' }>['members']): void {
+  #applyRelayed(
+    link: NodeLink,
+    relayed: Extract<NodeMessage, { type: 'relayed' }>['members'],
+  ): void {
     const { publisher, members } = this.#options;
     const { process } = publisher.find(link)?.hello ?? {};
     if (!process) return;
-    const now = new Set<string>(relayed.map(({ endpoint }) => endpoint));
+    const current = new Set<string>(relayed.map(({ endpoint }) => endpoint));
     for (const { endpoint } of members.members) {
-      const isGone = this.#relayed.get(link)?.has(endpoint) && !now.has(endpoint);
+      const isGone = this.#relayed.get(link)?.has(endpoint) && !current.has(endpoint);
       if (isGone) members.withdraw(endpoint, process);
     }
     for (const member of relayed) members.announce(member, process);
-    this.#relayed.set(link, now);
+    this.#relayed.set(link, current);
   }
 
   #leave(link: NodeLink): void {
     const { publisher, members, journal } = this.#options;
-    this.#waiting.delete(link);
+    this.#pendingHellos.delete(link);
     const gone = publisher.leave(link);
     const relayed = this.#relayed.get(link);
     this.#relayed.delete(link);
@@ -162,12 +165,12 @@
     if (accepted.isOk() && accepted.value.type === 'metered' && accepted.value.dropped > 0) {
       journal.record(controlEvents.usageDropped, { dropped: accepted.value.dropped });
     }
-    return accepted.andThen((outcome) => ok(answerOf(outcome)));
+    return accepted.andThen((outcome) => ok(toReply(outcome)));
   }
 }
 
 /** What a node is answered. */
-function answerOf(outcome: Accepted): unknown {
+function toReply(outcome: AcceptedOutcome): unknown {
   if (outcome.type === 'metered') return outcome.mark;
   if (outcome.type === 'claimed') return outcome.answer;
   return true;
--- a/packages/control/src/lib/Observer.ts
+++ b/packages/control/src/lib/Observer.ts
@@ -46,7 +46,7 @@
   readonly #server: LinkServer;
 
   /** Members whose sidecars are connected here. */
-  readonly #own = new Map<EndpointId, Member>();
+  readonly #localMembers = new Map<EndpointId, Member>();
 
   #address = '';
 
@@ -61,7 +61,7 @@
         group: process.group,
         process: `${process.name}/observer`,
         dataCentre: asId(process.dataCentre),
-        appliedIndex: () => this.#publisher.appliedByAll,
+        appliedIndex: () => this.#publisher.minAppliedIndex,
       }),
     );
     this.#publisher = this.store.add(
@@ -89,13 +89,13 @@
     };
     this.#subscription.onMembers = (changed, removed) =>
       this.#publisher.publishMembers(changed, removed);
-    this.#subscription.onOrder = (order) => this.#passOrder(order);
-    this.#subscription.onConnect = () => this.#relay();
+    this.#subscription.onOrder = (order) => this.#forwardOrder(order);
+    this.#subscription.onConnect = () => this.#relayMembers();
     this.#publisher.open();
     this.#server.accept<ControlMessage, NodeMessage | NodeCall>(
       NODE_PATH,
       { timer, journal, schema: nodeSchema, keepAliveMs: NODE_KEEP_ALIVE_MS },
-      (link) => this.#welcome(link),
+      (link) => this.#handleConnection(link),
     );
     this.#subscription.open();
     this.#address = await this.#server.listen(settings.listen);
@@ -118,35 +118,35 @@
     return ageMs < FRESHNESS_MS ? ageMs : undefined;
   }
 
-  #welcome(link: NodeLink): void {
+  #handleConnection(link: NodeLink): void {
     link.onMessage = (message) => this.#receive(link, message);
-    link.onCall = (call) => this.#call(call);
+    link.onCall = (call) => this.#forwardCall(call);
     link.onClose = () => {
       const member = this.#publisher.leave(link)?.hello.member;
-      if (member && this.#own.delete(member.endpoint)) this.#relay();
+      if (member && this.#localMembers.delete(member.endpoint)) this.#relayMembers();
     };
   }
 
   #receive(link: NodeLink, message: NodeMessage | NodeCall): void {
     if (message.type === 'hello') {
       this.#publisher.join(link, message);
-      if (message.member) this.#own.set(message.member.endpoint, message.member);
-      this.#relay();
+      if (message.member) this.#localMembers.set(message.member.endpoint, message.member);
+      this.#relayMembers();
     } else if (message.type === 'renew') {
       this.#publisher.renew(link, message);
       const member = this.#publisher.find(link)?.hello.member;
-      const known = member && this.#own.get(member.endpoint);
+      const known = member && this.#localMembers.get(member.endpoint);
       if (!known || !message.state || known.state === message.state) return;
-      this.#own.set(known.endpoint, { ...known, state: message.state });
-      this.#relay();
+      this.#localMembers.set(known.endpoint, { ...known, state: message.state });
+      this.#relayMembers();
     }
   }
 
-  #relay(): void {
-    this.#subscription.relay([...this.#own.values()]);
+  #relayMembers(): void {
+    this.#subscription.relay([...this.#localMembers.values()]);
   }
 
-  #passOrder(order: Extract<ControlMessage, { type: 'order' }>): void {
+  #forwardOrder(order: Extract<ControlMessage, { type: 'order' }>): void {
     const { endpoint } = order.action;
     const subscriber = this.#publisher.subscribers.find(
       ({ hello }) => hello.member?.endpoint === endpoint,
@@ -154,7 +154,7 @@
     subscriber?.link.send(order);
   }
 
-  #call(call: NodeMessage | NodeCall): Promise<Result<unknown, Failure>> {
+  #forwardCall(call: NodeMessage | NodeCall): Promise<Result<unknown, Failure>> {
     if (call.type === 'hello' || call.type === 'renew' || call.type === 'relayed') {
       return Promise.resolve(fail(controlCodes.callUnknown, `no such call: ${call.type}`));
     }
--- a/packages/control/src/lib/OperatorService.ts
+++ b/packages/control/src/lib/OperatorService.ts
@@ -29,7 +29,7 @@
 import { err, ok, type Result } from 'neverthrow';
 import { controlCodes } from './codes';
 import { controlEvents } from './events';
-import type { ForceReport, InForceMonitor } from './InForceMonitor';
+import type { InForceReport, InForceMonitor } from './InForceMonitor';
 import type { Leadership } from './Leadership';
 import type { MemberTable } from './MemberTable';
 import { requireDone, type Proposer } from './Proposer';
@@ -71,7 +71,7 @@
   return createHash('sha256').update(secret).digest('hex');
 }
 
-type Done = Promise<Result<DoneOutcome, Failure>>;
+type ChangeResult = Promise<Result<DoneOutcome, Failure>>;
 
 /** What operators may ask of a control replica. @public */
 export class OperatorService {
@@ -92,28 +92,34 @@
     operator: string,
     expected: number,
     configuration: Configuration,
-  ): Done {
+  ): ChangeResult {
     const at = this.#options.timer.wall();
     return this.#change({ type: 'configure', change, at, operator, expected, configuration });
   }
 
   /** Creates a key from the hash of its secret; a resend is answered with the first record. */
-  giveKey(change: ChangeId, record: KeyRecord): Done {
+  giveKey(change: ChangeId, record: KeyRecord): ChangeResult {
     return this.#change({ type: 'giveKey', change, at: this.#options.timer.wall(), record });
   }
 
-  withdrawKey(change: ChangeId, key: KeyId): Done {
+  withdrawKey(change: ChangeId, key: KeyId): ChangeResult {
     return this.#change({ type: 'withdrawKey', change, at: this.#options.timer.wall(), key });
   }
 
   /** Records an order, which the leader gives. */
-  intendOrder(change: ChangeId, order: OrderId, action: OrderAction): Done {
+  intendOrder(change: ChangeId, order: OrderId, action: OrderAction): ChangeResult {
     const at = this.#options.timer.wall();
-    return this.#change({ type: 'intendOrder', change, at, order, action: this.#aim(action) });
+    return this.#change({
+      type: 'intendOrder',
+      change,
+      at,
+      order,
+      action: this.#pinIncarnation(action),
+    });
   }
 
   /** Waits until no node can work with a state older than the index. */
-  waitInForce(index: number, timeoutMs: number): Promise<Result<ForceReport, Failure>> {
+  waitInForce(index: number, timeoutMs: number): Promise<Result<InForceReport, Failure>> {
     return this.#options.monitor.wait(index, timeoutMs);
   }
 
@@ -171,7 +177,7 @@
   }
 
   /** Puts a backup into this new group, with indexes, revisions and fencing numbers moved on. */
-  async restore(backup: Uint8Array): Done {
+  async restore(backup: Uint8Array): ChangeResult {
     const { timer, leadership } = this.#options;
     let last: Result<DoneOutcome, Failure> = fail(controlCodes.notLeader, 'no part was restored');
     for (const part of cutBackup(backup, timer.wall())) {
@@ -200,7 +206,7 @@
   }
 
   /** Names the run that is meant by a stop, so that a later one is not stopped. */
-  #aim(action: OrderAction): OrderAction {
+  #pinIncarnation(action: OrderAction): OrderAction {
     if (action.type !== 'stop' || action.incarnation) return action;
     const incarnation = this.#options.members.find(action.endpoint)?.incarnation;
     return { ...action, incarnation };
@@ -217,7 +223,7 @@
     return fail(controlCodes.notLeader, this.#options.log.status.leader ?? 'no leader is known');
   }
 
-  async #change(command: Command): Done {
+  async #change(command: Command): ChangeResult {
     const { proposer, journal, leadership } = this.#options;
     if (!leadership.isLeading) return this.#notLeader();
     const result = await proposer.propose(command);
--- a/packages/control/src/lib/OrderGiver.ts
+++ b/packages/control/src/lib/OrderSender.ts
@@ -10,16 +10,16 @@
 const INTERVAL_MS = 50;
 
 /** Wait before an order without an answer is sent again under the same id. */
-const RESEND_MS = 500;
+const RESEND_DELAY_MS = 500;
 
 /** Time for a sidecar's answer, after which the outcome counts as unknown. */
-const SIDECAR_ANSWER_MS = 2000;
+const SIDECAR_REPLY_TIMEOUT_MS = 2000;
 
 /** Lease that must remain when an order is sent, so that it ends before the lease does. */
-const MARGIN_MS = REQUEST_DEADLINE_MS;
+const MIN_LEASE_REMAINING_MS = REQUEST_DEADLINE_MS;
 
 /** Options of the giver of orders. @public */
-export interface OrderGiverOptions extends PlatformTaskOptions {
+export interface OrderSenderOptions extends PlatformTaskOptions {
   readonly publisher: Publisher;
   readonly members: MemberTable;
 }
@@ -34,7 +34,7 @@
  * with the same id and bytes, never made anew.
  * @public
  */
-export class OrderGiver extends PlatformTask {
+export class OrderSender extends PlatformTask {
   readonly #publisher: Publisher;
 
   readonly #members: MemberTable;
@@ -45,7 +45,7 @@
   /** Fencing number for which the inherited orders were found. */
   #fence = 0;
 
-  constructor(options: OrderGiverOptions) {
+  constructor(options: OrderSenderOptions) {
     super(options, INTERVAL_MS);
     this.#publisher = options.publisher;
     this.#members = options.members;
@@ -53,7 +53,7 @@
 
   protected override async step(): Promise<void> {
     const { ledger, leadership } = this.options;
-    this.#members.setStopped(this.#stoppedRuns);
+    this.#members.setStoppedIncarnations(this.#stoppedIncarnations);
     const { open } = ledger.orders;
     if (this.#fence !== leadership.fence) {
       this.#fence = leadership.fence;
@@ -61,28 +61,30 @@
       this.#inherited = new Set(sent.map(({ order }) => order));
     }
     for (const order of selectOrders(open, this.#inherited)) {
-      if (!leadership.mayAct(MARGIN_MS)) return;
-      if (isForPlatform(order.action)) await this.#givePlatform(order, order.action);
-      else await this.#giveSidecar(order, order.action);
+      if (!leadership.mayAct(MIN_LEASE_REMAINING_MS)) return;
+      if (isForPlatform(order.action)) await this.#sendToPlatform(order, order.action);
+      else await this.#sendToSidecar(order, order.action);
     }
   }
 
-  get #stoppedRuns() {
+  get #stoppedIncarnations() {
     return this.options.ledger.orders.all.flatMap(({ action, step, accepted }) => {
-      const isRefused = step === 'answered' && !accepted;
-      return action.type === 'stop' && action.incarnation && !isRefused ? [action.incarnation] : [];
+      const isRejected = step === 'answered' && !accepted;
+      return action.type === 'stop' && action.incarnation && !isRejected
+        ? [action.incarnation]
+        : [];
     });
   }
 
   /** Whether the order may be sent now: orders on their way are waited for first. */
-  #isDue({ step, at, fence }: Order, answerMs: number): boolean {
+  #isDue({ step, at, fence }: Order, replyTimeoutMs: number): boolean {
     const { timer, leadership } = this.options;
     const age = timer.wall() - at;
-    if (step === 'unknown') return age >= RESEND_MS;
-    return step === 'intended' || fence !== leadership.fence || age >= answerMs;
+    if (step === 'unknown') return age >= RESEND_DELAY_MS;
+    return step === 'intended' || fence !== leadership.fence || age >= replyTimeoutMs;
   }
 
-  async #givePlatform(order: Order, action: PlatformAction): Promise<void> {
+  async #sendToPlatform(order: Order, action: PlatformAction): Promise<void> {
     const { platform, leadership } = this.options;
     if (!platform || !this.#isDue(order, REQUEST_DEADLINE_MS)) return;
     if (!(await this.#recordSending(order.order))) return;
@@ -91,22 +93,22 @@
       body: JSON.stringify({ order: order.order, ...action }),
       id: order.order,
       fence: leadership.fence,
-      mayWrite: () => leadership.mayAct(MARGIN_MS),
+      mayWrite: () => leadership.mayAct(MIN_LEASE_REMAINING_MS),
     });
     await answer.match(
       ({ status, body }) => this.#recordAnswer(order.order, status, body),
-      ({ message }) => this.#recordLoss(order.order, message),
+      ({ message }) => this.#recordUnknownOutcome(order.order, message),
     );
   }
 
-  async #giveSidecar(order: Order, action: EndpointAction): Promise<void> {
-    if (!this.#isDue(order, SIDECAR_ANSWER_MS)) return;
+  async #sendToSidecar(order: Order, action: EndpointAction): Promise<void> {
+    if (!this.#isDue(order, SIDECAR_REPLY_TIMEOUT_MS)) return;
     const source = this.#members.sourceOf(action.endpoint);
     const subscriber = source === undefined ? undefined : this.#publisher.findProcess(source);
     if (!subscriber) return;
     if (!(await this.#recordSending(order.order))) return;
     const { leadership } = this.options;
-    if (!leadership.mayAct(MARGIN_MS)) return;
+    if (!leadership.mayAct(MIN_LEASE_REMAINING_MS)) return;
     const { fence } = leadership;
     subscriber.link.send({ type: 'order', order: order.order, fence, action });
     subscriber.link.flush();
@@ -119,14 +121,14 @@
     const recorded = await proposer.propose({ type: 'sendOrder', at, order, fence });
     if (recorded.isErr()) return false;
     journal.record(controlEvents.orderSent, { order, fence });
-    return leadership.mayAct(MARGIN_MS);
+    return leadership.mayAct(MIN_LEASE_REMAINING_MS);
   }
 
   async #recordAnswer(order: OrderId, status: number, message: string): Promise<void> {
     const { proposer, timer, journal } = this.options;
     // A fault of the platform says nothing about the order.
     if (status >= 500) {
-      await this.#recordLoss(order, `status ${status}`);
+      await this.#recordUnknownOutcome(order, `status ${status}`);
       return;
     }
     const accepted = status < 300;
@@ -135,7 +137,7 @@
     journal.record(controlEvents.orderAnswered, { order, status });
   }
 
-  async #recordLoss(order: OrderId, reason: string): Promise<void> {
+  async #recordUnknownOutcome(order: OrderId, reason: string): Promise<void> {
     const { proposer, timer, journal } = this.options;
     await proposer.propose({ type: 'loseOrder', at: timer.wall(), order, reason });
     journal.record(controlEvents.orderUnknown, { order, reason });
--- a/packages/control/src/lib/PlatformClient.ts
+++ b/packages/control/src/lib/PlatformClient.ts
@@ -17,7 +17,7 @@
 }
 
 /** The platform's answer. @public */
-export interface PlatformAnswer {
+export interface PlatformResponse {
   readonly status: number;
   readonly body: string;
 }
@@ -26,7 +26,7 @@
 export const REQUEST_DEADLINE_MS = 250;
 
 /** Longest answer that is read, in bytes. */
-const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
 const CONTINUE_HEADERS = { expect: '100-continue', connection: 'close' };
 
@@ -57,7 +57,7 @@
     id,
     fence,
     mayWrite,
-  }: PlatformRequest): Promise<Result<PlatformAnswer, Failure>> {
+  }: PlatformRequest): Promise<Result<PlatformResponse, Failure>> {
     const headers = {
       ...CONTINUE_HEADERS,
       'content-type': 'application/json',
@@ -75,14 +75,14 @@
       isWritten = true;
       request.end(body);
     });
-    return this.#settle(request, () => (isWritten ? 'unknown' : true));
+    return this.#awaitResponse(request, () => (isWritten ? 'unknown' : true));
   }
 
   /** The platform's lagging list of instances. */
   async list(): Promise<Result<PlatformInstance[], Failure>> {
     const request = this.#start('GET', '/instances', { connection: 'close' });
     request.end();
-    const answer = await this.#settle(request, () => true);
+    const answer = await this.#awaitResponse(request, () => true);
     return answer.andThen(({ body }) => {
       const parsed = platformListSchema.safeParse(JSON.parse(body));
       if (parsed.success) return ok(parsed.data.instances);
@@ -95,27 +95,27 @@
     return startRequest({ host, port, method, path, headers, agent: false });
   }
 
-  #settle(
+  #awaitResponse(
     request: ClientRequest,
     notRun: () => true | 'unknown',
-  ): Promise<Result<PlatformAnswer, Failure>> {
+  ): Promise<Result<PlatformResponse, Failure>> {
     return new Promise((resolve) => {
-      const lose = (message: string): void =>
+      const failWith = (message: string): void =>
         resolve(fail(controlCodes.platformFailed, message, { notRun: notRun() }));
       const deadline = this.#timer.after(REQUEST_DEADLINE_MS, () => {
-        lose(`no answer within ${REQUEST_DEADLINE_MS} ms`);
+        failWith(`no answer within ${REQUEST_DEADLINE_MS} ms`);
         request.socket?.resetAndDestroy();
         request.destroy();
       });
-      request.once('error', (error) => lose(error.message));
+      request.once('error', (error) => failWith(error.message));
       request.once('close', () => {
         deadline[Symbol.dispose]();
-        lose('the connection was closed');
+        failWith('the connection was closed');
       });
       request.once('response', (response) => {
         readText(response).then(
           (body) => resolve(ok({ status: response.statusCode ?? 0, body })),
-          (error: Error) => lose(error.message),
+          (error: Error) => failWith(error.message),
         );
       });
     });
@@ -127,7 +127,7 @@
   let size = 0;
   for await (const chunk of response) {
     size += (chunk as Buffer).byteLength;
-    if (size > MAX_ANSWER_BYTES) throw new Error('the answer is too long');
+    if (size > MAX_RESPONSE_BYTES) throw new Error('the answer is too long');
     chunks.push(chunk as Buffer);
   }
   return Buffer.concat(chunks).toString();
--- a/packages/control/src/lib/Proposer.ts
+++ b/packages/control/src/lib/Proposer.ts
@@ -10,7 +10,7 @@
 import { ok, type Result } from 'neverthrow';
 
 /** The outcome of a command that was not refused. @public */
-export type Accepted = Exclude<CommandOutcome, { type: 'refused' }>;
+export type AcceptedOutcome = Exclude<CommandOutcome, { type: 'refused' }>;
 
 /** Proposes typed commands and turns refusals of the ledger into failures. @public */
 export class Proposer {
@@ -20,9 +20,9 @@
     this.#log = log;
   }
 
-  async propose(command: Command): Promise<Result<Accepted, Failure>> {
+  async propose(command: Command): Promise<Result<AcceptedOutcome, Failure>> {
     const applied = await this.#log.propose(encodeCommand(command));
-    return applied.andThen(({ result }): Result<Accepted, Failure> => {
+    return applied.andThen(({ result }): Result<AcceptedOutcome, Failure> => {
       const outcome = decodeOutcome(result);
       if (outcome.type !== 'refused') return ok(outcome);
       return fail(required(findCode(outcome.code), 'result code'), outcome.message);
@@ -31,7 +31,7 @@
 }
 
 /** Narrows the outcome of a command that changes the state. @internal */
-export function requireDone(outcome: Accepted): DoneOutcome {
+export function requireDone(outcome: AcceptedOutcome): DoneOutcome {
   if (outcome.type !== 'done') throw new Error(`unexpected outcome ${outcome.type}`);
   return outcome;
 }
--- a/packages/control/src/lib/Publisher.ts
+++ b/packages/control/src/lib/Publisher.ts
@@ -42,7 +42,7 @@
 }
 
 /** Time after which a node without renewal surely takes no new work. */
-const EXPIRY_MS = FRESHNESS_MS * (1 + CLOCK_RATE_BOUND);
+const LEASE_EXPIRY_MS = FRESHNESS_MS * (1 + CLOCK_RATE_BOUND);
 
 /** Time after a change of leader in which nodes connect again; until then members are incomplete. */
 const SETTLING_MS = 5000;
@@ -60,11 +60,11 @@
   readonly #byProcess = new Map<string, Subscriber>();
 
   /** Nodes that have gone but may still hold a freshness lease. */
-  readonly #departed = new Map<string, { applied: number; renewedAt: number }>();
+  readonly #disconnected = new Map<string, { applied: number; renewedAt: number }>();
 
   #publishingSince = -Infinity;
 
-  #settled: Disposable | undefined;
+  #settlingTimer: Disposable | undefined;
 
   constructor(options: PublisherOptions) {
     this.#options = options;
@@ -80,37 +80,37 @@
    */
   open(): void {
     this.#publishingSince = this.#options.timer.now();
-    this.#settled?.[Symbol.dispose]();
-    this.#settled = this.#options.timer.after(SETTLING_MS, () => {
-      this.#settled = undefined;
+    this.#settlingTimer?.[Symbol.dispose]();
+    this.#settlingTimer = this.#options.timer.after(SETTLING_MS, () => {
+      this.#settlingTimer = undefined;
       for (const link of this.#subscribers.keys()) this.#sendAllMembers(link, true);
     });
   }
 
   /** Sends all subscribers to another replica. */
   close(): void {
-    this.#settled?.[Symbol.dispose]();
-    this.#settled = undefined;
+    this.#settlingTimer?.[Symbol.dispose]();
+    this.#settlingTimer = undefined;
     for (const link of [...this.#subscribers.keys()]) link.send({ type: 'redirect' });
     this.#subscribers.clear();
     this.#byProcess.clear();
-    this.#departed.clear();
+    this.#disconnected.clear();
   }
 
   [Symbol.dispose](): void {
-    this.#settled?.[Symbol.dispose]();
+    this.#settlingTimer?.[Symbol.dispose]();
   }
 
   join(link: NodeLink, hello: Hello): void {
     this.#byProcess.get(hello.process)?.link[Symbol.dispose]();
     // A lease that was renewed over an earlier connection still runs.
-    const renewedAt = this.#departed.get(hello.process)?.renewedAt ?? -Infinity;
+    const renewedAt = this.#disconnected.get(hello.process)?.renewedAt ?? -Infinity;
     const subscriber = { link, hello, applied: hello.applied, renewedAt };
     this.#subscribers.set(link, subscriber);
     this.#byProcess.set(hello.process, subscriber);
     const { state } = this.#options;
     if (hello.applied !== state.index) link.send({ type: 'snapshot', state: state.toState() });
-    this.#sendAllMembers(link, !this.#settled);
+    this.#sendAllMembers(link, !this.#settlingTimer);
   }
 
   leave(link: NodeLink): Subscriber | undefined {
@@ -119,7 +119,7 @@
     const { applied, renewedAt, hello } = subscriber;
     this.#subscribers.delete(link);
     this.#byProcess.delete(hello.process);
-    this.#departed.set(hello.process, { applied, renewedAt });
+    this.#disconnected.set(hello.process, { applied, renewedAt });
     return subscriber;
   }
 
@@ -166,25 +166,31 @@
   /** Nodes that may still work with a state older than the index. */
   pendingNodes(index: number): string[] {
     const now = this.#options.timer.now();
-    if (now < this.#publishingSince + EXPIRY_MS) return ['nodes of the former leader'];
-    const mayWork = ({ applied, renewedAt }: { applied: number; renewedAt: number }): boolean =>
-      applied < index && renewedAt + EXPIRY_MS > now;
-    const pending = this.subscribers.filter(mayWork).map(({ hello }) => hello.process);
-    for (const [process, departed] of this.#departed) {
-      if (departed.renewedAt + EXPIRY_MS <= now) this.#departed.delete(process);
-      else if (mayWork(departed) && !this.#byProcess.has(process)) pending.push(process);
+    if (now < this.#publishingSince + LEASE_EXPIRY_MS) return ['nodes of the former leader'];
+    const mayUseOlderState = ({
+      applied,
+      renewedAt,
+    }: {
+      applied: number;
+      renewedAt: number;
+    }): boolean => applied < index && renewedAt + LEASE_EXPIRY_MS > now;
+    const pending = this.subscribers.filter(mayUseOlderState).map(({ hello }) => hello.process);
+    for (const [process, disconnected] of this.#disconnected) {
+      if (disconnected.renewedAt + LEASE_EXPIRY_MS <= now) this.#disconnected.delete(process);
+      else if (mayUseOlderState(disconnected) && !this.#byProcess.has(process))
+        pending.push(process);
     }
     return pending;
   }
 
   /** Index that all nodes have applied which may work on behalf of this publisher. */
-  get appliedByAll(): number {
+  get minAppliedIndex(): number {
     const now = this.#options.timer.now();
     // Nodes of an earlier run of this process may still work.
-    if (now < this.#publishingSince + EXPIRY_MS) return 0;
+    if (now < this.#publishingSince + LEASE_EXPIRY_MS) return 0;
     let { index } = this.#options.state;
-    for (const node of [...this.#subscribers.values(), ...this.#departed.values()]) {
-      if (node.renewedAt + EXPIRY_MS > now) index = Math.min(index, node.applied);
+    for (const node of [...this.#subscribers.values(), ...this.#disconnected.values()]) {
+      if (node.renewedAt + LEASE_EXPIRY_MS > now) index = Math.min(index, node.applied);
     }
     return index;
   }
--- a/packages/control/src/lib/UsageReporter.ts
+++ b/packages/control/src/lib/UsageReporter.ts
@@ -6,10 +6,10 @@
 const INTERVAL_MS = 100;
 
 /** Time for which a window waits for usage after its end, in milliseconds. */
-const LATENESS_MS = 1500;
+const ALLOWED_LATENESS_MS = 1500;
 
 /** Lease that must remain when a report is sent, so that it ends before the lease does. */
-const MARGIN_MS = REQUEST_DEADLINE_MS;
+const MIN_LEASE_REMAINING_MS = REQUEST_DEADLINE_MS;
 
 /**
  * Freezes windows by a committed command and reports them to the platform, as the leader under its
@@ -22,17 +22,17 @@
   }
 
   protected override async step(): Promise<void> {
-    await this.#close();
+    await this.#closeWindows();
     for (const window of this.options.ledger.windows.closed) {
       if (window.state === 'frozen') await this.#report(window);
     }
   }
 
-  async #close(): Promise<void> {
+  async #closeWindows(): Promise<void> {
     const { ledger, proposer, timer, journal } = this.options;
     const { windowMs, frozenUntil } = ledger.windows;
     const at = timer.wall();
-    const endsAt = Math.floor((at - LATENESS_MS) / windowMs) * windowMs;
+    const endsAt = Math.floor((at - ALLOWED_LATENESS_MS) / windowMs) * windowMs;
     if (endsAt <= frozenUntil) return;
     const closed = await proposer.propose({ type: 'closeWindows', at, endsAt });
     if (closed.isOk()) journal.record(controlEvents.windowsClosed, { endsAt });
@@ -40,17 +40,17 @@
 
   async #report({ window, report }: ClosedWindow): Promise<void> {
     const { platform, leadership, journal, proposer, timer } = this.options;
-    if (!platform || !leadership.mayAct(MARGIN_MS)) return;
+    if (!platform || !leadership.mayAct(MIN_LEASE_REMAINING_MS)) return;
     const { fence } = leadership;
     const answer = await platform.send({
       path: '/usage',
       body: report,
       id: window,
       fence,
-      mayWrite: () => leadership.mayAct(MARGIN_MS),
+      mayWrite: () => leadership.mayAct(MIN_LEASE_REMAINING_MS),
     });
-    const isTaken = answer.isOk() && answer.value.status < 300;
-    if (!isTaken) {
+    const isAccepted = answer.isOk() && answer.value.status < 300;
+    if (!isAccepted) {
       const reason = answer.isErr() ? answer.error.message : `status ${answer.value.status}`;
       journal.record(controlEvents.reportUnanswered, { window, reason });
       return;
--- a/packages/control/src/lib/foundConfiguration.ts
+++ b/packages/control/src/lib/applyInitialConfiguration.ts
@@ -12,7 +12,7 @@
 import { hashSecret, type OperatorService } from './OperatorService';
 
 /** What the first configuration is applied with. @internal */
-export interface FoundingOptions {
+export interface InitialConfigurationOptions {
   readonly settings: ControlSettings;
   readonly ledger: Ledger;
   readonly journal: Journal;
@@ -24,7 +24,9 @@
  * revision 0, they never replace lists that an operator has applied.
  * @internal
  */
-export async function foundConfiguration(options: FoundingOptions): Promise<void> {
+export async function applyInitialConfiguration(
+  options: InitialConfigurationOptions,
+): Promise<void> {
   const { settings, ledger, journal, service } = options;
   const { plans, customers, demoKey } = settings;
   if (ledger.feed.revision > 0 || !plans || !customers) return;
--- a/packages/control/src/lib/openReplica.test.ts
+++ b/packages/control/src/lib/openReplica.test.ts
@@ -3,17 +3,17 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { checkDataFolder } from './openReplica';
+import { checkDataDirectory } from './openReplica';
 
 test('a data folder must exist and be a folder; a missing one is not created', (context) => {
-  const folder = mkdtempSync(join(tmpdir(), 'berylwood-data-'));
-  context.after(() => rmSync(folder, { recursive: true }));
-  const missing = join(folder, 'missing');
-  const file = join(folder, 'file');
+  const directory = mkdtempSync(join(tmpdir(), 'berylwood-data-'));
+  context.after(() => rmSync(directory, { recursive: true }));
+  const missing = join(directory, 'missing');
+  const file = join(directory, 'file');
   writeFileSync(file, '');
-  assert.ok(checkDataFolder(folder).isOk());
+  assert.ok(checkDataDirectory(directory).isOk());
   for (const path of [missing, file, missing]) {
-    const error = checkDataFolder(path)._unsafeUnwrapErr();
+    const error = checkDataDirectory(path)._unsafeUnwrapErr();
     assert.equal(error.code.name, 'dataFolderUnusable');
     assert.match(error.message, /^data folder [^\n]+$/);
   }
--- a/packages/control/src/lib/openReplica.ts
+++ b/packages/control/src/lib/openReplica.ts
@@ -12,7 +12,7 @@
 import { controlCodes } from './codes';
 
 /** What a replica is opened with. @internal */
-export interface ReplicaSurroundings {
+export interface OpenReplicaOptions {
   readonly settings: ControlSettings;
   readonly timer: Timer;
   readonly journal: Journal;
@@ -24,18 +24,18 @@
 const MAX_COMMAND_BYTES = 4 * 1024 * 1024;
 
 /** Checks that the data folder exists and can be written; it is never created here. @internal */
-export function checkDataFolder(folder: string): Result<void, Failure> {
+export function checkDataDirectory(directory: string): Result<void, Failure> {
   try {
-    if (!statSync(folder).isDirectory()) {
-      return fail(controlCodes.dataFolderUnusable, `data folder ${folder} is not a folder`);
+    if (!statSync(directory).isDirectory()) {
+      return fail(controlCodes.dataFolderUnusable, `data folder ${directory} is not a folder`);
     }
     // eslint-disable-next-line no-bitwise -- the flags of access are combined by bits
-    accessSync(folder, constants.R_OK | constants.W_OK | constants.X_OK);
+    accessSync(directory, constants.R_OK | constants.W_OK | constants.X_OK);
     return ok(undefined);
   } catch (error) {
     const { code } = error as NodeJS.ErrnoException;
     const reason = code === 'ENOENT' ? 'does not exist' : `can not be written (${code})`;
-    return fail(controlCodes.dataFolderUnusable, `data folder ${folder} ${reason}`);
+    return fail(controlCodes.dataFolderUnusable, `data folder ${directory} ${reason}`);
   }
 }
 
@@ -45,12 +45,12 @@
  * @throws Failure when the folder or its files can not be used.
  * @internal
  */
-export async function openReplica(surroundings: ReplicaSurroundings): Promise<Replica> {
-  const { settings, timer, journal, machine, transport } = surroundings;
-  const checked = checkDataFolder(settings.data);
+export async function openReplica(options: OpenReplicaOptions): Promise<Replica> {
+  const { settings, timer, journal, machine, transport } = options;
+  const checked = checkDataDirectory(settings.data);
   if (checked.isErr()) throw checked.error;
-  const others = settings.voters.map(({ replica }) => replica);
-  const isFirst = others.every((other) => settings.replica < other);
+  const voterNames = settings.voters.map(({ replica }) => replica);
+  const isFirst = voterNames.every((other) => settings.replica < other);
   const opened = await Replica.open({
     replica: createReplicaName(settings.replica),
     machine,
@@ -60,7 +60,7 @@
     journal,
     random: new Random(Math.floor(Math.random() * 2 ** 31)),
     address: settings.announce ?? settings.listen,
-    seeds: others.map(createReplicaName),
+    seeds: voterNames.map(createReplicaName),
     founder: isFirst && !settings.join,
     maxCommandBytes: MAX_COMMAND_BYTES,
   });
--- a/packages/control/src/testing/GroupWorkload.ts
+++ b/packages/control/src/testing/GroupWorkload.ts
@@ -19,7 +19,7 @@
   readonly accepted: string[] = [];
 
   /** Tokens handed in and acknowledged. */
-  counted = 0;
+  acknowledgedTokens = 0;
 
   readonly #group: OperatorGroup;
 
@@ -50,7 +50,7 @@
 
   start(): void {
     this.#subscription.open();
-    this.#loops.push(this.#giveOrders(), this.#handInUsage());
+    this.#loops.push(this.#submitOrders(), this.#submitUsage());
     // An error is thrown by `stop`; until then it is no unhandled rejection.
     for (const loop of this.#loops) loop.catch(() => {});
   }
@@ -61,27 +61,27 @@
     this.#subscription[Symbol.dispose]();
   }
 
-  async #giveOrders(): Promise<void> {
+  async #submitOrders(): Promise<void> {
     while (this.#isRunning) {
       const change = createChangeId();
       const order = asId<'order'>(`ord-${change}`);
       const action = { type: 'start', dataCentre: asId<'dataCentre'>('naas'), model: 'm' } as const;
-      await this.#group.ask((client) => client.intendOrder.mutate({ change, order, action }));
+      await this.#group.call((client) => client.intendOrder.mutate({ change, order, action }));
       this.accepted.push(order);
       await this.#timer.sleep(ORDER_INTERVAL_MS);
     }
   }
 
-  async #handInUsage(): Promise<void> {
+  async #submitUsage(): Promise<void> {
     while (this.#isRunning) {
       this.#sequence += 1;
-      await this.#handIn(this.#record());
+      await this.#submitRecord(this.#record());
       await this.#timer.sleep(METER_INTERVAL_MS);
     }
   }
 
   /** Hands a record in until it is acknowledged. */
-  async #handIn(record: MeterRecord): Promise<void> {
+  async #submitRecord(record: MeterRecord): Promise<void> {
     const endpoint = asId<'endpoint'>('engine-1');
     const batch = { endpoint, incarnation: this.#incarnation, records: [record] };
     for (;;) {
@@ -89,7 +89,7 @@
       if (mark.isOk() && mark.value >= record.sequence) break;
       await this.#timer.sleep(METER_INTERVAL_MS);
     }
-    this.counted += record.work.outputTokens;
+    this.acknowledgedTokens += record.work.outputTokens;
   }
 
   #record(): MeterRecord {
--- a/packages/control/src/testing/OperatorGroup.ts
+++ b/packages/control/src/testing/OperatorGroup.ts
@@ -1,18 +1,18 @@
 import { createTRPCClient, httpLink } from '@trpc/client';
 import type { OperatorRouter } from '../lib/operatorRouter';
 
-const ANSWER_MS = 2000;
-const PAUSE_MS = 50;
-const LIMIT_MS = 30_000;
+const RESPONSE_TIMEOUT_MS = 2000;
+const RETRY_DELAY_MS = 50;
+const TOTAL_TIMEOUT_MS = 30_000;
 
 /** Refusals that say nothing about the change: no leader, or a change of leader. */
-const PASSING = /^(3100|120[0-8]):/;
+const TRANSIENT = /^(3100|120[0-8]):/;
 
 function createClient(address: string) {
   const link = httpLink({
     url: `http://${address}`,
     fetch: (url, options) =>
-      fetch(url, { ...(options as RequestInit), signal: AbortSignal.timeout(ANSWER_MS) }),
+      fetch(url, { ...(options as RequestInit), signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MS) }),
   });
   return createTRPCClient<OperatorRouter>({ links: [link] });
 }
@@ -27,27 +27,27 @@
   readonly #clients: OperatorClient[];
 
   /** The replica that answered last; each question goes on from there by itself. */
-  #latest = 0;
+  #current = 0;
 
   constructor(addresses: string) {
     this.#clients = addresses.split(',').map(createClient);
   }
 
   /** @throws the refusal of the group, or the last error after 30 s. */
-  async ask<T>(question: (client: OperatorClient) => Promise<T>): Promise<T> {
-    const deadline = Date.now() + LIMIT_MS;
-    for (let next = this.#latest; ; next += 1) {
+  async call<T>(operation: (client: OperatorClient) => Promise<T>): Promise<T> {
+    const deadline = Date.now() + TOTAL_TIMEOUT_MS;
+    for (let next = this.#current; ; next += 1) {
       const client = this.#clients[next % this.#clients.length] as OperatorClient;
       try {
-        const answer = await question(client);
-        this.#latest = next;
+        const answer = await operation(client);
+        this.#current = next;
         return answer;
       } catch (error) {
         const { message, data } = error as Error & { data?: unknown };
-        if ((data && !PASSING.test(message)) || Date.now() > deadline) throw error;
+        if ((data && !TRANSIENT.test(message)) || Date.now() > deadline) throw error;
         this.resends += 1;
         await new Promise((resolve) => {
-          setTimeout(resolve, PAUSE_MS);
+          setTimeout(resolve, RETRY_DELAY_MS);
         });
       }
     }
--- a/packages/control/src/testing/startGroup.ts
+++ b/packages/control/src/testing/startGroup.ts
@@ -14,7 +14,7 @@
 `;
 
 /** Length of usage windows in these tests. */
-const SETTINGS = 'usage_window_ms = 1000\n';
+const CONTROL_SETTINGS = 'usage_window_ms = 1000\n';
 
 /** A deployment of control replicas and the platform behind relays, with what tests do to it. @internal */
 export class ReplicaGroup {
@@ -22,10 +22,10 @@
 
   readonly operators: OperatorGroup;
 
-  readonly #count: number;
+  readonly #replicaCount: number;
 
   constructor(count: number) {
-    this.#count = count;
+    this.#replicaCount = count;
     this.deployment = new Deployment({
       entries: 0,
       controls: count,
@@ -34,13 +34,13 @@
       relays: true,
       plans: PLANS,
       customers: CUSTOMERS,
-      extra: { control: SETTINGS },
+      extra: { control: CONTROL_SETTINGS },
     });
     this.operators = new OperatorGroup(this.deployment.operatorAddresses);
   }
 
   get names(): string[] {
-    return Array.from({ length: this.#count }, (_, index) => `control-${index + 1}`);
+    return Array.from({ length: this.#replicaCount }, (_, index) => `control-${index + 1}`);
   }
 
   /** Addresses of the replicas for nodes. */
@@ -54,14 +54,14 @@
 
   /** Status of the leader. */
   leader() {
-    return this.operators.ask(async (client) => {
+    return this.operators.call(async (client) => {
       await client.position.query();
       return client.status.query();
     });
   }
 
   /** Cuts a replica from the platform alone, so that orders wait on the way. */
-  cutPlatform(name: string): void {
+  partitionFromPlatform(name: string): void {
     this.deployment.relay(name, 'platform').set('silent');
   }
 
@@ -71,7 +71,7 @@
   }
 
   /** Cuts a replica from the others and the platform, in silence; bytes on the way wait. */
-  cut(name: string): void {
+  partition(name: string): void {
     for (const relay of this.#relaysOf(name)) relay.set('silent');
   }
 
