--- a/packages/control/src/lib/Control.ts
+++ b/packages/control/src/lib/Control.ts
@@ -17,10 +17,10 @@
   readonly identity?: LinkIdentity;
 }
 
-/** Interval at which the replica's health is looked at. */
+/** Interval between health checks of the replica. */
 const HEALTH_INTERVAL_MS = 500;
 
-/** One control replica: replicated state, feed to the nodes, and the operators' service. @public */
+/** One control replica: replicates the state, feeds the nodes and serves operators. @public */
 export class Control extends Task {
   readonly name = 'control';
 
@@ -34,7 +34,7 @@
 
   #fail: (failure: Failure) => void = () => {};
 
-  /** Rejects when the replica has stopped by itself. */
+  /** Rejects when the replica has failed. */
   readonly #failed = new Promise<never>((_, reject) => {
     this.#fail = reject;
   });
@@ -55,7 +55,7 @@
     );
   }
 
-  /** @throws Failure `dataFolderUnusable`, or one of the replicated log. */
+  /** @throws Failure `dataFolderUnusable`, or a failure of the replicated log. */
   override async start(): Promise<void> {
     const { settings, timer, journal } = this.#options;
     const ledger = new Ledger();
@@ -72,12 +72,12 @@
     journal.record(controlEvents.controlListening, { listen: settings.listen });
   }
 
-  /** Runs until it is stopped, or until the replica fails: its disk can not be trusted then. */
+  /** Runs until it is stopped or the replica fails, after which its disk can not be trusted. */
   override async run(): Promise<void> {
     await Promise.race([super.run(), this.#failed]);
   }
 
-  /** Hands leadership over first, so that the group is not without a leader for an election. */
+  /** Transfers leadership first, so that the group does not go without a leader for an election. */
   override async stop(): Promise<void> {
     await this.#log?.transferLeadership();
     await this.#operatorServer?.close();
@@ -87,7 +87,7 @@
   }
 
   protected override handle(): void {
-    // Messages come over links.
+    // Messages arrive over links.
   }
 
   #checkHealth(): void {
--- a/packages/control/src/lib/ControlCore.ts
+++ b/packages/control/src/lib/ControlCore.ts
@@ -16,7 +16,7 @@
 import { Publisher } from './Publisher';
 import { UsageReporter } from './UsageReporter';
 
-/** What the parts of a control replica work on. @internal */
+/** Options of the core of a control replica. @internal */
 export interface ControlCoreOptions {
   readonly settings: ControlSettings;
   readonly timer: Timer;
@@ -25,7 +25,7 @@
   readonly ledger: Ledger;
 }
 
-/** The parts of a control replica around its log: owns them and connects them. @internal */
+/** Creates, owns and connects the components of a control replica, except for its log. @internal */
 export class ControlCore implements Disposable {
   readonly service: OperatorService;
 
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Connects the parts, and begins to lead when the log says so. */
+  /** Connects the components; starts leading once this replica is elected and has its fencing number. */
   open(server: LinkServer): void {
     const { log, ledger } = this.#options;
     const publisher = this.#publisher;
@@ -92,7 +92,7 @@
     this.#store[Symbol.dispose]();
   }
 
-  /** Takes in nodes once there is a configuration for them. */
+  /** Applies the initial configuration if there is none, then accepts nodes. */
   async #startLeading(): Promise<void> {
     const { settings, ledger, journal } = this.#options;
     const { fence } = this.#leadership;
--- a/packages/control/src/lib/InForceMonitor.ts
+++ b/packages/control/src/lib/InForceMonitor.ts
@@ -11,7 +11,7 @@
   readonly index: number;
   readonly revision: number;
   readonly inForce: boolean;
-  /** Processes that may still work with the former state. */
+  /** Processes that may still use an older state. */
   readonly pending: string[];
 }
 
@@ -26,7 +26,7 @@
 
 const POLL_MS = 20;
 
-/** Knows when no node can work any more with a state older than a change. @public */
+/** Determines when no node can still use a state older than a change. @public */
 export class InForceMonitor {
   readonly #options: InForceMonitorOptions;
 
@@ -34,7 +34,7 @@
     this.#options = options;
   }
 
-  /** Waits until the index is in force everywhere, or for the time given. */
+  /** Waits until the index is in force everywhere, for at most `timeoutMs`. */
   async wait(index: number, timeoutMs: number): Promise<Result<InForceReport, Failure>> {
     const { timer, journal, leadership } = this.#options;
     const deadline = timer.now() + timeoutMs;
--- a/packages/control/src/lib/InstanceLister.ts
+++ b/packages/control/src/lib/InstanceLister.ts
@@ -4,7 +4,7 @@
 
 const INTERVAL_MS = 1000;
 
-/** Polls the platform's lagging list of instances and joins it with the announcements. @public */
+/** Polls the platform's instance list, which may lag behind, into the member table. @public */
 export class InstanceLister extends PlatformTask {
   readonly #members: MemberTable;
 
@@ -15,7 +15,7 @@
     this.#members = options.members;
   }
 
-  /** Whether the platform answered last; a leader that can not reach it may hand over. */
+  /** Whether the last poll succeeded; a leader that can not reach the platform may transfer leadership. */
   get isReachable(): boolean {
     return this.#wasReachable;
   }
--- a/packages/control/src/lib/Leadership.ts
+++ b/packages/control/src/lib/Leadership.ts
@@ -13,11 +13,11 @@
   readonly ledger: Ledger;
   readonly proposer: Proposer;
   readonly replica: string;
-  /** Length of usage windows, which the first leader of a group fixes. */
+  /** Length of usage windows in milliseconds; the first leader of a group fixes it. */
   readonly windowMs: number;
 }
 
-/** Wait before another try to take the fencing number. */
+/** Delay before another attempt to acquire the fencing number. */
 const RETRY_DELAY_MS = 50;
 
 const machine = setup({
@@ -41,23 +41,23 @@
 });
 
 /**
- * Leadership of the control group. A replica that was elected leads once its fencing number is
- * committed: the log commits nothing before the lease of the former leader has run out, and after
- * the first commit of its term the leader's state includes all that was committed before.
+ * Leadership of the control group. An elected replica leads once its fencing number is committed.
+ * The log commits nothing before the lease of the former leader has expired, and after the first
+ * commit of its term the leader's state includes everything that was committed before.
  * @public
  */
 export class Leadership implements Disposable {
   /** Called when this replica begins to lead. */
   onEstablished: () => void = () => {};
 
-  /** Called when this replica leads no more. */
+  /** Called when this replica no longer leads. */
   onLost: () => void = () => {};
 
   readonly #options: LeadershipOptions;
 
   readonly #actor;
 
-  /** Whether the machine is in its state `leading`, also within the actions of its entry. */
+  /** Whether the state machine is in `leading`; already set while its entry actions run. */
   #isLeading = false;
 
   #fence = 0;
@@ -78,16 +78,16 @@
     this.#actor = createActor(provided);
   }
 
-  /** Follows the role of the replica from now on. */
+  /** Starts to follow the role of the replica. */
   open(): void {
     const { log } = this.#options;
     this.#actor.start();
-    // The log tells of a change before its own status shows it.
+    // The log calls `onRole` before its own status reflects the change.
     log.onRole = () => queueMicrotask(() => this.#followRole(log.status));
     this.#followRole(log.status);
   }
 
-  /** Whether this replica leads, as far as it knows; an effect needs `mayAct`. */
+  /** Whether this replica believes that it leads; check `mayAct` before an external effect. */
   get isLeading(): boolean {
     return this.#isLeading;
   }
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Whether this replica leads under its lease now and for some more milliseconds. To be asked in
-   * the same tick as the effect that it guards.
+   * Whether this replica leads and its lease lasts for more than `remainingMs` milliseconds. Call it
+   * in the same tick as the effect that it guards.
    */
   mayAct(remainingMs = 0): boolean {
     const { log, ledger, timer } = this.#options;
@@ -111,7 +111,7 @@
     );
   }
 
-  /** Takes the next fencing number within this leadership, after a restore has moved it on. */
+  /** Acquires a new fencing number within this leadership, after a restore has advanced it. */
   async renewFence(): Promise<void> {
     const { proposer, timer, replica } = this.#options;
     const fenced = await proposer.propose({ type: 'fence', at: timer.wall(), replica });
--- a/packages/control/src/lib/MemberTable.ts
+++ b/packages/control/src/lib/MemberTable.ts
@@ -1,23 +1,24 @@
 import { DisposableStore, type Timer } from '@berylwood/base';
 import type { EndpointId, IncarnationId, Member, PlatformInstance } from '@berylwood/schema';
 
-/** Time for which a member stays known after the connection of its sidecar is lost. */
+/** Time for which a member is kept after the connection of its sidecar is lost. */
 const GRACE_MS = 5000;
 
 interface Announcement {
   readonly member: Member;
-  /** Who announced it last: the process of the sidecar, or the observer before it. */
+  /** Process that announced the member last: its sidecar, or the observer in front of the sidecar. */
   readonly source: string;
   removal?: Disposable;
 }
 
 /**
- * The endpoints as the leader knows them: soft state, joined from announcements of the sidecars,
- * the platform's lagging list and the group's own orders. "Leaving" from any of them wins.
+ * The endpoints known to the leader. This is soft state, merged from the announcements of the
+ * sidecars, the platform's list, which may lag behind, and the group's own stop orders. A member is
+ * `leaving` if any of the three has it so.
  * @public
  */
 export class MemberTable implements Disposable {
-  /** Called with each difference. */
+  /** Called with the changed and removed members after each change. */
   onChange: (changed: Member[], removed: EndpointId[]) => void = () => {};
 
   readonly #timer: Timer;
@@ -26,20 +27,20 @@
 
   readonly #store = new DisposableStore();
 
-  /** States as last published after a change of the list or the orders. */
+  /** State of each member as last published. */
   readonly #published = new Map<EndpointId, Member['state']>();
 
-  /** Endpoints that leave, with their instance, by the platform's list. */
+  /** Endpoints that are leaving according to the platform's list, with their instance. */
   #listedLeaving = new Map<EndpointId, string>();
 
-  /** Runs of sidecars whose endpoints the group has ordered to stop. */
+  /** Incarnations of sidecars whose endpoints the group has ordered to stop. */
   #stoppedIncarnations = new Set<IncarnationId>();
 
   constructor(timer: Timer) {
     this.#timer = timer;
   }
 
-  /** Members with their joined state. */
+  /** Members with their merged state. */
   get members(): Member[] {
     return [...this.#announced.values()].map(({ member }) => this.#mergeState(member));
   }
@@ -49,12 +50,12 @@
     return announced && this.#mergeState(announced.member);
   }
 
-  /** Process over whose connection the member was announced last. */
+  /** Process that announced the member last. */
   sourceOf(endpoint: EndpointId): string | undefined {
     return this.#announced.get(endpoint)?.source;
   }
 
-  /** Takes an announcement of a sidecar. */
+  /** Adds or updates a member from a sidecar's announcement. */
   announce(member: Member, source: string): void {
     const known = this.#announced.get(member.endpoint);
     if (known?.removal) this.#store.release(known.removal);
@@ -66,8 +67,9 @@
   }
 
   /**
-   * Takes the loss of a connection. A leaving member goes at once; another stays for a time, as its
-   * sidecar may have lost only this connection and refuses work by itself when it is not fresh.
+   * Handles the loss of a connection. A leaving member is removed at once. Any other member is kept
+   * for a grace period: its sidecar may have lost only this connection, and rejects work by itself
+   * when its state is not fresh.
    */
   withdraw(endpoint: EndpointId, source: string): void {
     const known = this.#announced.get(endpoint);
@@ -79,20 +81,20 @@
     }
   }
 
-  /** Takes the platform's list. */
+  /** Applies the platform's list. */
   setPlatformList(instances: readonly PlatformInstance[]): void {
     const leaving = instances.filter(({ state }) => state === 'leaving');
     this.#listedLeaving = new Map(leaving.map(({ endpoint, instance }) => [endpoint, instance]));
     this.#publishStates();
   }
 
-  /** Takes the runs that the group's own orders stop. */
+  /** Sets the incarnations that the group's own orders stop. */
   setStoppedIncarnations(incarnations: readonly IncarnationId[]): void {
     this.#stoppedIncarnations = new Set(incarnations);
     this.#publishStates();
   }
 
-  /** Forgets everything, when this replica ceases to lead. */
+  /** Discards all members when this replica stops leading. */
   clear(): void {
     this.#store.clear();
     this.#announced.clear();
--- a/packages/control/src/lib/NodeServer.ts
+++ b/packages/control/src/lib/NodeServer.ts
@@ -16,7 +16,7 @@
 import type { MemberTable } from './MemberTable';
 import type { Hello, NodeLink, Publisher } from './Publisher';
 
-/** Options of the service for nodes. @public */
+/** Options of the node server. @public */
 export interface NodeServerOptions {
   readonly timer: Timer;
   readonly journal: Journal;
@@ -26,23 +26,23 @@
   readonly members: MemberTable;
 }
 
-/** What may come from a node. @internal */
+/** Schema of all messages and calls from a node. @internal */
 export const nodeSchema = z.union([nodeMessageSchema, nodeCallSchema]);
 
-/** Path and keep-alive of links to nodes: a node drops a connection that is silent for 1.2 s. */
+/** Path and keep-alive of links to nodes; a node drops a connection that is silent for 1.2 s. */
 export const NODE_PATH = '/node';
 export const NODE_KEEP_ALIVE_MS = 400;
 
-/** Wait before a node is sent on, so that nodes do not spin while no replica leads. */
+/** Delay before a node is redirected, so that nodes do not reconnect in a tight loop without a leader. */
 const REDIRECT_DELAY_MS = 100;
 
-/** Serves entries, sidecars and observers on the leader, and sends them on elsewhere. @public */
+/** Serves entries, sidecars and observers on the leader; redirects them on other replicas. @public */
 export class NodeServer {
   readonly #options: NodeServerOptions;
 
   #isOpen = false;
 
-  /** Nodes that have greeted while this replica did not lead. */
+  /** Nodes that sent their hello message while this replica did not lead. */
   readonly #pendingHellos = new Map<NodeLink, Hello>();
 
   /** Members last relayed by each observer. */
@@ -52,7 +52,7 @@
     this.#options = options;
   }
 
-  /** Takes nodes on the server's port; call before it listens. */
+  /** Accepts links from nodes on the server's port; call it before the server listens. */
   serve(server: LinkServer): void {
     const { timer, journal } = this.#options;
     server.accept<ControlMessage, NodeMessage | NodeCall>(
@@ -62,14 +62,14 @@
     );
   }
 
-  /** Takes in nodes from now on, and those that wait, when this replica begins to lead. */
+  /** Starts to accept nodes, including those that wait, when this replica begins to lead. */
   open(): void {
     this.#isOpen = true;
     for (const [link, hello] of this.#pendingHellos) this.#join(link, hello);
     this.#pendingHellos.clear();
   }
 
-  /** Sends nodes on from now on. */
+  /** Redirects new nodes from now on. */
   close(): void {
     this.#isOpen = false;
   }
@@ -98,7 +98,7 @@
         this.#applyRelayed(link, message.members);
         break;
       default:
-      // Calls come by `call`.
+      // Calls arrive through `onCall`.
     }
   }
 
@@ -169,7 +169,7 @@
   }
 }
 
-/** What a node is answered. */
+/** Converts the outcome of a node's command to the reply to the node. */
 function toReply(outcome: AcceptedOutcome): unknown {
   if (outcome.type === 'metered') return outcome.mark;
   if (outcome.type === 'claimed') return outcome.answer;
--- a/packages/control/src/lib/Observer.ts
+++ b/packages/control/src/lib/Observer.ts
@@ -29,9 +29,9 @@
 }
 
 /**
- * A read-only replica in front of the control group: fans out the state, the members and proofs of
- * freshness to many nodes over one connection to the leader, and passes their calls on. A proof is
- * passed on with the age of the observer's own proof taken off, so that it never gets younger.
+ * A read-only replica in front of the control group. Fans out the state, the members and freshness
+ * proofs to many nodes over one connection to the leader, and forwards their calls to it. A renewal
+ * for a node is dated back by the age of the observer's own proof, so that it never looks fresher.
  * @public
  */
 export class Observer extends Task {
@@ -45,7 +45,7 @@
 
   readonly #server: LinkServer;
 
-  /** Members whose sidecars are connected here. */
+  /** Members whose sidecars are connected to this observer. */
   readonly #localMembers = new Map<EndpointId, Member>();
 
   #address = '';
@@ -75,7 +75,7 @@
     this.#server = new LinkServer(options.identity);
   }
 
-  /** Address in use, once started. */
+  /** Address that the observer listens on; empty before `start`. */
   get address(): string {
     return this.#address;
   }
@@ -109,10 +109,10 @@
   }
 
   protected override handle(): void {
-    // Messages come over links.
+    // Messages arrive over links.
   }
 
-  /** Age of the own proof; undefined once it has run out. */
+  /** Age of the observer's own freshness proof in milliseconds; undefined once it has expired. */
   get #proofAgeMs(): number | undefined {
     const ageMs = this.#options.timer.now() - this.#subscription.provenAt;
     return ageMs < FRESHNESS_MS ? ageMs : undefined;
--- a/packages/control/src/lib/OperatorService.ts
+++ b/packages/control/src/lib/OperatorService.ts
@@ -48,7 +48,7 @@
   readonly monitor: InForceMonitor;
 }
 
-/** What `berylwood status` shows of a control replica. @public */
+/** Status of a control replica, as `berylwood status` shows it. @public */
 export interface StatusReport extends LogStatus {
   readonly revision: number;
   readonly fence: number;
@@ -59,9 +59,9 @@
   readonly members: Member[];
 }
 
-/** Where a change starts from. @public */
+/** State that a change is based on. @public */
 export interface Position {
-  /** Index that the maker of a change has seen; part of the id of the change. */
+  /** Index that the operator has read before the change; part of the id of the change. */
   readonly index: number;
   readonly revision: number;
 }
@@ -73,7 +73,7 @@
 
 type ChangeResult = Promise<Result<DoneOutcome, Failure>>;
 
-/** What operators may ask of a control replica. @public */
+/** Queries and changes that a control replica offers to operators. @public */
 export class OperatorService {
   readonly #options: OperatorServiceOptions;
 
@@ -81,7 +81,7 @@
     this.#options = options;
   }
 
-  /** The present position; read before a change is made. */
+  /** Current position; read it before making a change. */
   position(): Promise<Result<Position, Failure>> {
     const { ledger } = this.#options;
     return this.#read(() => ({ index: ledger.index, revision: ledger.feed.revision }));
@@ -97,7 +97,7 @@
     return this.#change({ type: 'configure', change, at, operator, expected, configuration });
   }
 
-  /** Creates a key from the hash of its secret; a resend is answered with the first record. */
+  /** Creates a key from the hash of its secret; a resend is answered with the first record again. */
   giveKey(change: ChangeId, record: KeyRecord): ChangeResult {
     return this.#change({ type: 'giveKey', change, at: this.#options.timer.wall(), record });
   }
@@ -106,7 +106,7 @@
     return this.#change({ type: 'withdrawKey', change, at: this.#options.timer.wall(), key });
   }
 
-  /** Records an order, which the leader gives. */
+  /** Records an order, which the leader then sends. */
   intendOrder(change: ChangeId, order: OrderId, action: OrderAction): ChangeResult {
     const at = this.#options.timer.wall();
     return this.#change({
@@ -118,12 +118,12 @@
     });
   }
 
-  /** Waits until no node can work with a state older than the index. */
+  /** Waits until no node can use a state older than the index, for at most `timeoutMs`. */
   waitInForce(index: number, timeoutMs: number): Promise<Result<InForceReport, Failure>> {
     return this.#options.monitor.wait(index, timeoutMs);
   }
 
-  /** The present configuration with its revision. */
+  /** Current configuration with its revision. */
   configuration(): Promise<Result<Position & { configuration: Configuration }, Failure>> {
     const { ledger } = this.#options;
     return this.#read(() => {
@@ -132,7 +132,7 @@
     });
   }
 
-  /** Who put which revision in force, newest last. */
+  /** All revisions and the operators who made them, newest last. */
   history(): Promise<Result<readonly Revision[], Failure>> {
     return this.#read(() => this.#options.ledger.history.revisions);
   }
@@ -171,12 +171,12 @@
     return removed.map(() => this.#options.log.status.membership);
   }
 
-  /** The whole replicated state, for a backup. */
+  /** Complete replicated state, for a backup. */
   backup(): Promise<Result<Uint8Array, Failure>> {
     return this.#read(() => this.#options.ledger.snapshot());
   }
 
-  /** Puts a backup into this new group, with indexes, revisions and fencing numbers moved on. */
+  /** Restores a backup into this new group and advances its indexes, revisions and fencing numbers. */
   async restore(backup: Uint8Array): ChangeResult {
     const { timer, leadership } = this.#options;
     let last: Result<DoneOutcome, Failure> = fail(controlCodes.notLeader, 'no part was restored');
@@ -189,7 +189,7 @@
     return last;
   }
 
-  /** State of the replica, its nodes and its endpoints, as this replica knows them. */
+  /** State of the replica, its nodes and its endpoints, from local state without a barrier. */
   status(): StatusReport {
     const { log, ledger, publisher, members } = this.#options;
     const { replica, role, term, leader, commitIndex, appliedIndex, syncs } = log.status;
@@ -205,14 +205,14 @@
     };
   }
 
-  /** Names the run that is meant by a stop, so that a later one is not stopped. */
+  /** Adds the current incarnation to a stop order, so that a later incarnation is not stopped. */
   #pinIncarnation(action: OrderAction): OrderAction {
     if (action.type !== 'stop' || action.incarnation) return action;
     const incarnation = this.#options.members.find(action.endpoint)?.incarnation;
     return { ...action, incarnation };
   }
 
-  /** Reads the state as the leader, with everything included that was committed before. */
+  /** Reads the state on the leader, after a barrier that ensures that it includes every earlier commit. */
   async #read<T>(read: () => T): Promise<Result<T, Failure>> {
     if (!this.#options.leadership.isLeading) return this.#notLeader();
     const current = await this.#options.log.barrier();
--- a/packages/control/src/lib/OrderSender.ts
+++ b/packages/control/src/lib/OrderSender.ts
@@ -9,16 +9,16 @@
 
 const INTERVAL_MS = 50;
 
-/** Wait before an order without an answer is sent again under the same id. */
+/** Delay before an order with an unknown outcome is resent under the same id. */
 const RESEND_DELAY_MS = 500;
 
-/** Time for a sidecar's answer, after which the outcome counts as unknown. */
+/** Time to wait for a sidecar's reply, after which the outcome counts as unknown. */
 const SIDECAR_REPLY_TIMEOUT_MS = 2000;
 
-/** Lease that must remain when an order is sent, so that it ends before the lease does. */
+/** Lease time that must remain when an order is sent, so that the request ends within the lease. */
 const MIN_LEASE_REMAINING_MS = REQUEST_DEADLINE_MS;
 
-/** Options of the giver of orders. @public */
+/** Options of the order sender. @public */
 export interface OrderSenderOptions extends PlatformTaskOptions {
   readonly publisher: Publisher;
   readonly members: MemberTable;
@@ -29,9 +29,9 @@
 }
 
 /**
- * Gives the recorded orders to the platform and to the sidecars of engines, as the leader under its
- * lease. That an order is sent is committed before it is; an order without an answer is sent again
- * with the same id and bytes, never made anew.
+ * Sends the recorded orders to the platform and to the sidecars of engines while this replica leads
+ * under its lease. Each sending is committed to the log first. An order without an answer is resent
+ * with the same id and bytes and never replaced by a new order.
  * @public
  */
 export class OrderSender extends PlatformTask {
@@ -39,10 +39,10 @@
 
   readonly #members: MemberTable;
 
-  /** Orders that an earlier leader had sent without an answer, as found at the first step. */
+  /** Orders that an earlier leader sent and that have no answer, collected in the first step. */
   #inherited: ReadonlySet<OrderId> = new Set();
 
-  /** Fencing number for which the inherited orders were found. */
+  /** Fencing number for which the inherited orders were collected. */
   #fence = 0;
 
   constructor(options: OrderSenderOptions) {
@@ -76,7 +76,7 @@
     });
   }
 
-  /** Whether the order may be sent now: orders on their way are waited for first. */
+  /** Whether the order may be sent now. An order in flight is not resent before its timeout. */
   #isDue({ step, at, fence }: Order, replyTimeoutMs: number): boolean {
     const { timer, leadership } = this.options;
     const age = timer.wall() - at;
@@ -126,7 +126,7 @@
 
   async #recordAnswer(order: OrderId, status: number, message: string): Promise<void> {
     const { proposer, timer, journal } = this.options;
-    // A fault of the platform says nothing about the order.
+    // After a server error of the platform the outcome of the order is unknown.
     if (status >= 500) {
       await this.#recordUnknownOutcome(order, `status ${status}`);
       return;
--- a/packages/control/src/lib/PlatformClient.ts
+++ b/packages/control/src/lib/PlatformClient.ts
@@ -9,31 +9,31 @@
 export interface PlatformRequest {
   readonly path: string;
   readonly body: string;
-  /** Names the order or window, so that the platform knows a resend. */
+  /** Id of the order or window, by which the platform recognizes a resend. */
   readonly id: string;
   readonly fence: number;
-  /** Asked in the tick in which the body is written. */
+  /** Called in the tick in which the body is written; the request is aborted if it returns false. */
   readonly mayWrite: () => boolean;
 }
 
-/** The platform's answer. @public */
+/** Response of the platform. @public */
 export interface PlatformResponse {
   readonly status: number;
   readonly body: string;
 }
 
-/** Longest time from the start of a request to its answer, in milliseconds. @public */
+/** Maximum time from the start of a request to its response, in milliseconds. @public */
 export const REQUEST_DEADLINE_MS = 250;
 
-/** Longest answer that is read, in bytes. */
+/** Maximum size of a response body. */
 const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
 const CONTINUE_HEADERS = { expect: '100-continue', connection: 'close' };
 
 /**
- * Calls the platform over a fresh connection for each request. With `Expect: 100-continue` the body
- * is written only after a live round trip to the platform, in the tick of the last lease check; at
- * the deadline the connection is reset, so that no kernel holds bytes to be sent later.
+ * Calls the platform over a new connection for each request. With `Expect: 100-continue` the body is
+ * written only after a round trip to the platform, in the same tick as the last lease check. At the
+ * deadline the connection is reset, so that the kernel keeps no bytes that it would send later.
  * @public
  */
 export class PlatformClient {
@@ -50,7 +50,7 @@
     this.#timer = timer;
   }
 
-  /** Sends a request; a failure says whether its body can have reached the platform. */
+  /** Sends a request. `notRun` of a failure is `unknown` if the body can have reached the platform. */
   send({
     path,
     body,
@@ -78,7 +78,7 @@
     return this.#awaitResponse(request, () => (isWritten ? 'unknown' : true));
   }
 
-  /** The platform's lagging list of instances. */
+  /** Fetches the platform's list of instances, which may lag behind. */
   async list(): Promise<Result<PlatformInstance[], Failure>> {
     const request = this.#start('GET', '/instances', { connection: 'close' });
     request.end();
--- a/packages/control/src/lib/PlatformTask.ts
+++ b/packages/control/src/lib/PlatformTask.ts
@@ -4,7 +4,7 @@
 import type { PlatformClient } from './PlatformClient';
 import type { Proposer } from './Proposer';
 
-/** What the leader's work on the platform is done with. @public */
+/** Options of a platform task. @public */
 export interface PlatformTaskOptions {
   readonly timer: Timer;
   readonly journal: Journal;
@@ -14,7 +14,7 @@
   readonly platform: PlatformClient | undefined;
 }
 
-/** Work that only the leader does, step by step, at an interval. @public */
+/** Periodic task that runs only on the leader under its lease. @public */
 export abstract class PlatformTask implements Disposable {
   protected readonly options: PlatformTaskOptions;
 
@@ -37,7 +37,7 @@
     this.#store[Symbol.dispose]();
   }
 
-  /** Does what is due; called again only after it has ended. */
+  /** Does the work that is due. Steps never overlap. */
   protected abstract step(): Promise<void>;
 
   #tick(): void {
--- a/packages/control/src/lib/Proposer.ts
+++ b/packages/control/src/lib/Proposer.ts
@@ -9,10 +9,10 @@
 } from '@berylwood/ledger';
 import { ok, type Result } from 'neverthrow';
 
-/** The outcome of a command that was not refused. @public */
+/** Outcome of a command that the ledger did not reject. @public */
 export type AcceptedOutcome = Exclude<CommandOutcome, { type: 'refused' }>;
 
-/** Proposes typed commands and turns refusals of the ledger into failures. @public */
+/** Proposes typed commands and converts rejections by the ledger to failures. @public */
 export class Proposer {
   readonly #log: ReplicatedLog;
 
--- a/packages/control/src/lib/Publisher.ts
+++ b/packages/control/src/lib/Publisher.ts
@@ -22,9 +22,9 @@
 export interface Subscriber {
   readonly link: NodeLink;
   readonly hello: Hello;
-  /** Index applied by the node, and by all that depend on it. */
+  /** Index applied by the node and, if it is an observer, by all nodes behind it. */
   applied: number;
-  /** Time of the last renewal that was answered, on this process's monotonic clock. */
+  /** Time of the last answered renewal, on this process's monotonic clock. */
   renewedAt: number;
 }
 
@@ -32,24 +32,24 @@
 export interface PublisherOptions {
   readonly timer: Timer;
   readonly state: StateCopy;
-  /** The endpoints as known now. */
+  /** Returns the current members. */
   readonly members: () => Member[];
   /**
-   * Age of the proof that the state includes everything committed, in milliseconds: 0 for a leader
-   * under its lease; undefined when nothing can be vouched for now.
+   * Age in milliseconds of the freshness proof, which shows that the state includes everything
+   * committed: 0 for a leader under its lease; undefined when there is no valid proof.
    */
   readonly proofAgeMs: () => number | undefined;
 }
 
-/** Time after which a node without renewal surely takes no new work. */
+/** Time after which a node without renewal takes no new work, even if its clock runs slow. */
 const LEASE_EXPIRY_MS = FRESHNESS_MS * (1 + CLOCK_RATE_BOUND);
 
-/** Time after a change of leader in which nodes connect again; until then members are incomplete. */
+/** Time for nodes to reconnect after a change of leader; until then the members are incomplete. */
 const SETTLING_MS = 5000;
 
 /**
- * Sends the replicated state and the members to subscribers, and knows where it is in force. Used
- * by the leader and by observers.
+ * Sends the replicated state and the members to subscribers, and tracks which of them may still use
+ * an older state. Used by the leader and by observers.
  * @public
  */
 export class Publisher implements Disposable {
@@ -59,7 +59,7 @@
 
   readonly #byProcess = new Map<string, Subscriber>();
 
-  /** Nodes that have gone but may still hold a freshness lease. */
+  /** Disconnected nodes that may still hold a freshness lease. */
   readonly #disconnected = new Map<string, { applied: number; renewedAt: number }>();
 
   #publishingSince = -Infinity;
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Begins to publish. Nodes may hold leases from another publisher until one lease after this
-   * call, and keep the members that they know until all have had time to connect.
+   * Starts to publish. For one lease period after this call, nodes may hold leases from another
+   * publisher. They keep their former members until all nodes have had time to connect.
    */
   open(): void {
     this.#publishingSince = this.#options.timer.now();
@@ -87,7 +87,7 @@
     });
   }
 
-  /** Sends all subscribers to another replica. */
+  /** Redirects all subscribers to another replica. */
   close(): void {
     this.#settlingTimer?.[Symbol.dispose]();
     this.#settlingTimer = undefined;
@@ -103,7 +103,7 @@
 
   join(link: NodeLink, hello: Hello): void {
     this.#byProcess.get(hello.process)?.link[Symbol.dispose]();
-    // A lease that was renewed over an earlier connection still runs.
+    // A lease that was renewed over an earlier connection is still valid.
     const renewedAt = this.#disconnected.get(hello.process)?.renewedAt ?? -Infinity;
     const subscriber = { link, hello, applied: hello.applied, renewedAt };
     this.#subscribers.set(link, subscriber);
@@ -131,7 +131,7 @@
     return this.#subscribers.get(link);
   }
 
-  /** Answers a renewal, unless nothing can be vouched for now. */
+  /** Answers a renewal if there is a valid freshness proof. */
   renew(link: NodeLink, renew: Renew): void {
     const subscriber = this.#subscribers.get(link);
     if (!subscriber) return;
@@ -140,30 +140,30 @@
     if (ageMs === undefined) return;
     subscriber.renewedAt = this.#options.timer.now();
     const { index, fence } = this.#options.state;
-    // The stamp was taken before this moment, so the proof is at most this much older than it.
+    // The node took `sentAt` before now, so the proof is at most `ageMs` older than that stamp.
     const sentAt = renew.sentAt - ageMs * (1 + CLOCK_RATE_BOUND);
     link.send({ type: 'renewal', sentAt, index, fence });
   }
 
-  /** Sends the changes of one index to all. */
+  /** Sends the changes of one index to all subscribers. */
   publish(index: number, changes: readonly FeedChange[]): void {
     const message: ControlMessage = { type: 'changes', index, changes: [...changes] };
     for (const link of this.#subscribers.keys()) link.send(message);
   }
 
-  /** Sends the whole state to all, after it was replaced. */
+  /** Sends the complete state to all subscribers after it was replaced. */
   publishSnapshot(): void {
     const message: ControlMessage = { type: 'snapshot', state: this.#options.state.toState() };
     for (const link of this.#subscribers.keys()) link.send(message);
   }
 
-  /** Sends a difference of the members to all. */
+  /** Sends changed and removed members to all subscribers. */
   publishMembers(changed: Member[], removed: EndpointId[]): void {
     const message: ControlMessage = { type: 'members', whole: false, changed, removed };
     for (const link of this.#subscribers.keys()) link.send(message);
   }
 
-  /** Nodes that may still work with a state older than the index. */
+  /** Nodes that may still use a state older than the index. */
   pendingNodes(index: number): string[] {
     const now = this.#options.timer.now();
     if (now < this.#publishingSince + LEASE_EXPIRY_MS) return ['nodes of the former leader'];
@@ -183,10 +183,10 @@
     return pending;
   }
 
-  /** Index that all nodes have applied which may work on behalf of this publisher. */
+  /** Lowest index applied by any node that may hold a freshness lease from this publisher. */
   get minAppliedIndex(): number {
     const now = this.#options.timer.now();
-    // Nodes of an earlier run of this process may still work.
+    // Nodes may still hold leases from an earlier run of this process.
     if (now < this.#publishingSince + LEASE_EXPIRY_MS) return 0;
     let { index } = this.#options.state;
     for (const node of [...this.#subscribers.values(), ...this.#disconnected.values()]) {
--- a/packages/control/src/lib/UsageReporter.ts
+++ b/packages/control/src/lib/UsageReporter.ts
@@ -5,15 +5,15 @@
 
 const INTERVAL_MS = 100;
 
-/** Time for which a window waits for usage after its end, in milliseconds. */
+/** Time in milliseconds that a window stays open after its end for usage that arrives late. */
 const ALLOWED_LATENESS_MS = 1500;
 
-/** Lease that must remain when a report is sent, so that it ends before the lease does. */
+/** Lease time that must remain when a report is sent, so that the request ends within the lease. */
 const MIN_LEASE_REMAINING_MS = REQUEST_DEADLINE_MS;
 
 /**
- * Freezes windows by a committed command and reports them to the platform, as the leader under its
- * lease. A report is sent with the same bytes until the platform has taken it.
+ * Freezes usage windows by a committed command and reports them to the platform while this replica
+ * leads under its lease. A report is resent with the same bytes until the platform has accepted it.
  * @public
  */
 export class UsageReporter extends PlatformTask {
--- a/packages/control/src/lib/applyInitialConfiguration.ts
+++ b/packages/control/src/lib/applyInitialConfiguration.ts
@@ -11,7 +11,7 @@
 import { controlEvents } from './events';
 import { hashSecret, type OperatorService } from './OperatorService';
 
-/** What the first configuration is applied with. @internal */
+/** Options for applying the initial configuration. @internal */
 export interface InitialConfigurationOptions {
   readonly settings: ControlSettings;
   readonly ledger: Ledger;
@@ -20,8 +20,8 @@
 }
 
 /**
- * Applies the lists named in the settings when the group has no configuration yet. Made against
- * revision 0, they never replace lists that an operator has applied.
+ * Applies the plans and customers files named in the settings if the group has no configuration yet.
+ * The change expects revision 0, so it never replaces lists that an operator has applied.
  * @internal
  */
 export async function applyInitialConfiguration(
--- a/packages/control/src/lib/openReplica.ts
+++ b/packages/control/src/lib/openReplica.ts
@@ -11,7 +11,7 @@
 import { ok, type Result } from 'neverthrow';
 import { controlCodes } from './codes';
 
-/** What a replica is opened with. @internal */
+/** Options for opening a replica. @internal */
 export interface OpenReplicaOptions {
   readonly settings: ControlSettings;
   readonly timer: Timer;
@@ -20,16 +20,16 @@
   readonly transport: Transport;
 }
 
-/** Proposals of one command are bounded by the parts of a backup and the largest configuration. */
+/** Maximum size of a command; must fit a part of a backup and the largest configuration. */
 const MAX_COMMAND_BYTES = 4 * 1024 * 1024;
 
-/** Checks that the data folder exists and can be written; it is never created here. @internal */
+/** Checks that the data directory exists and is writable. Never creates it. @internal */
 export function checkDataDirectory(directory: string): Result<void, Failure> {
   try {
     if (!statSync(directory).isDirectory()) {
       return fail(controlCodes.dataFolderUnusable, `data folder ${directory} is not a folder`);
     }
-    // eslint-disable-next-line no-bitwise -- the flags of access are combined by bits
+    // eslint-disable-next-line no-bitwise -- access modes are bit flags
     accessSync(directory, constants.R_OK | constants.W_OK | constants.X_OK);
     return ok(undefined);
   } catch (error) {
@@ -40,9 +40,9 @@
 }
 
 /**
- * Opens the replica of the settings. Of a new group, the replica whose name sorts first is the
- * founder; it founds the group once all others have answered that they belong to none.
- * @throws Failure when the folder or its files can not be used.
+ * Opens the replica described by the settings. The replica whose name sorts first bootstraps a new
+ * group, once all other replicas have replied that they belong to no group.
+ * @throws Failure when the data directory or its files can not be used.
  * @internal
  */
 export async function openReplica(options: OpenReplicaOptions): Promise<Replica> {
--- a/packages/control/src/lib/operatorRouter.ts
+++ b/packages/control/src/lib/operatorRouter.ts
@@ -15,7 +15,7 @@
 
 const MAX_WAIT_MS = 60_000;
 
-/** Hands a failure to the client with its number, so that it can print the code. */
+/** Converts a failure to a tRPC error with the code's number, so that the client can print it. */
 function unwrap<T>(result: Result<T, Failure>): T {
   if (result.isOk()) return result.value;
   const { code, message } = result.error;
@@ -62,7 +62,7 @@
     ),
 };
 
-/** Procedures that look at the state. */
+/** Procedures that read the state. */
 const queries = {
   position: procedure.query(async ({ ctx }) => unwrap(await ctx.service.position())),
   showPlans: procedure.query(async ({ ctx }) => unwrap(await ctx.service.configuration())),
@@ -79,7 +79,7 @@
   status: procedure.query(({ ctx }) => ctx.service.status()),
 };
 
-/** Procedures on the group itself. */
+/** Procedures on the replicas of the group, and its backup and restore. */
 const group = {
   replicas: procedure.query(async ({ ctx }) => unwrap(await ctx.service.replicas())),
   addReplica: procedure
--- a/packages/control/src/lib/selectOrders.ts
+++ b/packages/control/src/lib/selectOrders.ts
@@ -6,11 +6,11 @@
 }
 
 /**
- * Orders that may be given now. A receiver gets no new order while one that an earlier leader sent
- * to it has no answer: the network may still deliver that one, and then it must be a repeat of an
- * order that the receiver has taken.
+ * Selects the orders that may be sent now. A receiver gets no new order while an order that an earlier
+ * leader sent to it has no answer. The network may still deliver that earlier order, and by then it
+ * must be a duplicate of an order that the receiver has already accepted.
  * @param open - orders without an answer.
- * @param inherited - orders that an earlier leader sent.
+ * @param inherited - ids of the orders that an earlier leader sent.
  * @internal
  */
 export function selectOrders(
