--- a/packages/control/bench/control.ts
+++ b/packages/control/bench/control.ts
@@ -1,9 +1,9 @@
 /**
  * Measures the control group with real processes and real syncs: rate and latency of committed
- * commands against the rate of bare synced appends, failover, time until a change is in force,
- * processor share of renewals, and memory. The last line is one JSON object.
+ * commands compared with plain synced appends, failover time, time until a change is in force, CPU
+ * usage of renewals, and memory. The last line of the output is one JSON object.
  */
-/* eslint-disable no-console -- a benchmark prints its figures */
+/* eslint-disable no-console -- a benchmark prints its results */
 import { fdatasyncSync, closeSync, openSync, writeSync } from 'node:fs';
 import { join } from 'node:path';
 import { SystemTimer, asId, createSilentJournal } from '@berylwood/base';
@@ -45,7 +45,7 @@
   return subscription;
 }
 
-/** Synced appends a second of records of the size of a command. */
+/** Measures the rate and latency of synced appends of records as large as a command. */
 function measureAppends(directory: string): { perSecond: number; p50Ms: number } {
   const file = openSync(join(directory, 'appends'), 'a');
   const record = Buffer.alloc(RECORD_BYTES, 1);
--- a/packages/control/src/lib/Control.process.test.ts
+++ b/packages/control/src/lib/Control.process.test.ts
@@ -7,10 +7,10 @@
 import { GroupWorkload } from '../testing/GroupWorkload';
 import { startGroup, type ReplicaGroup } from '../testing/startGroup';
 
-/** Limit of a change of leader while many tests share the machine. */
+/** Timeout of a change of leader while many tests share the machine. */
 const LEADER_CHANGE_TIMEOUT_MS = 40_000;
 
-/** Time in which an order sets out, shorter than its deadline. */
+/** Time to wait until an order is in flight; shorter than its deadline. */
 const ORDER_SEND_MS = 120;
 
 /** Longer than the lease and the election timeout together. */
@@ -23,8 +23,8 @@
 }
 
 /**
- * Strikes the leader while an order is on its way to the platform, waits until another replica
- * leads, and returns the former leader's name.
+ * Injects a fault into the leader while an order is in flight to the platform, waits until another
+ * replica leads, and returns the former leader's name.
  */
 async function replaceLeader(
   group: ReplicaGroup,
@@ -89,7 +89,7 @@
     );
     assert.ok(
       workload.accepted.every((order) => sentOrders.has(order)),
-      'each accepted order was given',
+      'each accepted order was sent',
     );
     const reports = new Map(
       history
@@ -119,7 +119,7 @@
     workload.start();
     await sleep(300);
     const membership = () => operators.call((client) => client.replicas.query());
-    // A founder admits the others one by one; until then the loss of a disk can end the group.
+    // The founder admits the other replicas one by one; until then the loss of a disk can end the group.
     await until('the group has its three voters', async () => {
       const { members } = await membership();
       return members.filter(({ kind }) => kind === 'voter').length === group.names.length;
@@ -156,7 +156,7 @@
   }
 });
 
-/** Makes changes one after another, each against the newest revision that it has seen. */
+/** Makes changes one after another, each based on the latest revision; returns those it created. */
 async function race(group: ReplicaGroup, operator: string, count: number): Promise<number[]> {
   const { operators } = group;
   const won: number[] = [];
@@ -167,7 +167,7 @@
     const configuration = { ...emptyConfiguration, customers };
     const input = { change, operator, expected, configuration };
     const send = () => operators.call((client) => client.applyPlans.mutate(input));
-    // Each change is sent a second time, as after a lost answer.
+    // Each change is sent twice, as after a lost response.
     const [first, second] = await Promise.allSettled([send(), send()]);
     assert.equal(first.status, second.status);
     if (first.status === 'rejected') {
@@ -180,7 +180,7 @@
   return won;
 }
 
-test('of operators that race with equal revisions one wins each, also over lost answers', async () => {
+test('of concurrent changes against the same revision one succeeds, also when responses are lost', async () => {
   const group = await startGroup(3);
   try {
     const races = [race(group, 'asha', 150), race(group, 'orla', 150)];
@@ -189,7 +189,7 @@
     await group.deployment.process(replica).kill();
     group.deployment.process(replica).start();
     const won = (await Promise.all(races)).flat();
-    assert.equal(new Set(won).size, won.length, 'no revision was given twice');
+    assert.equal(new Set(won).size, won.length, 'no revision was assigned twice');
     const history = await group.operators.call((client) => client.history.query());
     const revisions = history.map(({ revision }) => revision);
     assert.deepEqual(
@@ -200,13 +200,13 @@
       won.every((revision) => revisions.includes(revision)),
       'no accepted change is lost',
     );
-    assert.ok(group.operators.resends > 0, 'answers were lost');
+    assert.ok(group.operators.resends > 0, 'responses were lost');
   } finally {
     await group.deployment.close();
   }
 });
 
-test('a single replica keeps its state over a kill, and does not start without its data folder', async () => {
+test('a single replica keeps its state after a kill, and does not start without its data directory', async () => {
   const group = await startGroup(1);
   try {
     const { deployment } = group;
--- a/packages/control/src/lib/MemberTable.test.ts
+++ b/packages/control/src/lib/MemberTable.test.ts
@@ -32,7 +32,7 @@
   return { timer, members, changes };
 }
 
-test('"leaving" from the platform, an order or the sidecar wins', () => {
+test('a member is leaving if the platform, an order or the sidecar marks it so', () => {
   const listed = createTable();
   const instance = { endpoint: asId<'endpoint'>('engine-1'), instance: 'i-1' };
   const entry = { ...instance, dataCentre: asId<'dataCentre'>('naas') };
@@ -47,7 +47,7 @@
   assert.equal(ordered.members.members[0]?.state, 'live');
 });
 
-test('a member outlives a lost connection for a time', () => {
+test('a member is kept for the grace period after its connection is lost', () => {
   const { timer, members, changes } = createTable();
   members.withdraw(asId('engine-1'), 'sidecar');
   timer.advance(GRACE_MS - 1);
@@ -59,7 +59,7 @@
   assert.deepEqual(changes, ['live', 'removed']);
 });
 
-test('a leaving member goes with its connection', () => {
+test('a leaving member is removed when its connection is lost', () => {
   const { members, changes } = createTable();
   members.announce(memberOf({ state: 'leaving' }), 'sidecar');
   members.withdraw(asId('engine-1'), 'sidecar');
--- a/packages/control/src/lib/Observer.test.ts
+++ b/packages/control/src/lib/Observer.test.ts
@@ -17,7 +17,7 @@
 const timer = new SystemTimer();
 const journal = createSilentJournal(timer);
 
-/** A leader in place of the control group, with an observer and a node behind it. */
+/** Creates a publisher in place of the control group's leader, with an observer and a node behind it. */
 async function createChain(context: TestContext) {
   let isVouching = true;
   const state = new StateCopy();
@@ -75,7 +75,7 @@
   return { leader, node, change, stopVouching };
 }
 
-test('an observer passes changes and proofs on, and vouches no longer than the leader did', async (context) => {
+test('an observer forwards changes and renewals, and its proof expires with that of the leader', async (context) => {
   const { leader, node, change, stopVouching } = await createChain(context);
   await until('the node is fresh', () => node.isFresh);
   change(1);
@@ -84,5 +84,5 @@
   stopVouching();
   const stoppedAt = timer.now();
   await until('the node is no longer fresh', () => !node.isFresh);
-  assert.ok(timer.now() - stoppedAt <= 2100, 'the proof did not outlast that of the leader');
+  assert.ok(timer.now() - stoppedAt <= 2100, 'the proof expired with that of the leader');
 });
--- a/packages/control/src/lib/Publisher.test.ts
+++ b/packages/control/src/lib/Publisher.test.ts
@@ -35,14 +35,14 @@
   return { link, hello, sent, renewals };
 }
 
-test('after a change of leader nothing is in force before the leases of the former one end', () => {
+test('after a change of leader no change is in force before the leases of the former leader expire', () => {
   const { timer, publisher } = createPublisher();
   assert.equal(publisher.pendingNodes(0).length, 1);
   timer.advance(EXPIRED_MS);
   assert.deepEqual(publisher.pendingNodes(1), []);
 });
 
-test('a node without the change counts until its lease ends, also over a new connection', () => {
+test('a node without the change is pending until its lease expires, also after it reconnects', () => {
   const { timer, publisher, change } = createPublisher();
   timer.advance(EXPIRED_MS);
   const first = createNode('entry-1');
@@ -59,7 +59,7 @@
   assert.deepEqual(publisher.pendingNodes(1), []);
 });
 
-test('without a lease nothing is vouched for', () => {
+test('a renewal is not answered without a freshness proof', () => {
   const { publisher } = createPublisher(() => undefined);
   const node = createNode('entry-1');
   publisher.join(node.link, node.hello);
@@ -67,7 +67,7 @@
   assert.equal(node.renewals().length, 0);
 });
 
-test('a proof that is passed on is dated back by its age', () => {
+test('a renewal is dated back by the age of the proof', () => {
   const { publisher } = createPublisher(() => 700);
   const node = createNode('entry-1');
   publisher.join(node.link, node.hello);
@@ -76,7 +76,7 @@
   assert.ok(renewal?.type === 'renewal' && renewal.sentAt <= 4300);
 });
 
-test('members are sent whole only after nodes have had time to connect again', () => {
+test('the member list is marked complete only after nodes have had time to reconnect', () => {
   const { timer, publisher } = createPublisher();
   const node = createNode('entry-1');
   publisher.join(node.link, node.hello);
--- a/packages/control/src/lib/events.ts
+++ b/packages/control/src/lib/events.ts
@@ -11,13 +11,13 @@
   changeAccepted: {
     number: 3101,
     level: 'info',
-    meaning: 'A change of an operator is committed.',
+    meaning: 'A change by an operator is committed.',
     action: 'none',
   },
   changeRefused: {
     number: 3102,
     level: 'warn',
-    meaning: 'A change of an operator was refused.',
+    meaning: 'A change by an operator was rejected.',
     action: 'See the result code.',
   },
   changeInForce: {
@@ -29,31 +29,31 @@
   nodeJoined: {
     number: 3104,
     level: 'info',
-    meaning: 'An entry or sidecar has connected.',
+    meaning: 'An entry, sidecar or observer has connected.',
     action: 'none',
   },
   nodeLeft: {
     number: 3105,
     level: 'info',
-    meaning: 'An entry or sidecar has disconnected.',
+    meaning: 'An entry, sidecar or observer has disconnected.',
     action: 'none if it was planned.',
   },
   leadershipTaken: {
     number: 3106,
     level: 'info',
-    meaning: 'This replica leads, under a new fencing number.',
+    meaning: 'This replica leads the control group under a new fencing number.',
     action: 'none',
   },
   leadershipLost: {
     number: 3107,
     level: 'warn',
-    meaning: 'This replica leads no more.',
+    meaning: 'This replica no longer leads the control group.',
     action: 'none if it was planned; else check the network and the load of the instance.',
   },
   orderSent: {
     number: 3110,
     level: 'info',
-    meaning: 'An order is about to be sent; this is committed.',
+    meaning: 'An order is about to be sent; the sending is committed.',
     action: 'none',
   },
   orderAnswered: {
@@ -65,31 +65,31 @@
   orderUnknown: {
     number: 3112,
     level: 'warn',
-    meaning: 'An order has no answer; it is sent again with the same id.',
-    action: 'Check the platform’s ordering interface if it lasts.',
+    meaning: 'The outcome of an order is unknown; the order is resent with the same id.',
+    action: 'Check the platform’s ordering interface if it persists.',
   },
   windowsClosed: {
     number: 3120,
     level: 'info',
-    meaning: 'The figures of all usage windows up to a time are frozen.',
+    meaning: 'The counts of all usage windows up to a time are frozen.',
     action: 'none',
   },
   windowReported: {
     number: 3121,
     level: 'info',
-    meaning: 'The platform has taken the report of a usage window.',
+    meaning: 'The platform has accepted the report of a usage window.',
     action: 'none',
   },
   reportUnanswered: {
     number: 3122,
     level: 'warn',
-    meaning: 'The report of a usage window has no answer; it is sent again with the same bytes.',
-    action: 'Check the platform’s intake of usage if it lasts.',
+    meaning: 'The platform did not accept the report of a usage window; it is resent unchanged.',
+    action: 'Check the platform’s interface for usage reports if it persists.',
   },
   usageDropped: {
     number: 3123,
     level: 'error',
-    meaning: 'Usage was too old to be told from usage that was counted; it is not billed.',
+    meaning: 'Usage is too old to rule out that it was already counted; it is not billed.',
     action: 'Compare the log of the sidecar with the reports.',
   },
   platformUnreachable: {
--- a/packages/control/src/lib/openReplica.test.ts
+++ b/packages/control/src/lib/openReplica.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'node:test';
 import { checkDataDirectory } from './openReplica';
 
-test('a data folder must exist and be a folder; a missing one is not created', (context) => {
+test('a data directory must exist and be a directory; a missing one is not created', (context) => {
   const directory = mkdtempSync(join(tmpdir(), 'berylwood-data-'));
   context.after(() => rmSync(directory, { recursive: true }));
   const missing = join(directory, 'missing');
--- a/packages/control/src/lib/selectOrders.test.ts
+++ b/packages/control/src/lib/selectOrders.test.ts
@@ -18,12 +18,12 @@
   return selectOrders(open, ids).map(({ order }) => order);
 }
 
-test('new orders wait while an inherited one to the same receiver has no answer', () => {
+test('new orders wait while an inherited order to the same receiver has no answer', () => {
   const open = [createOrder('new'), createOrder('sent'), createOrder('engine', 'engine-1')];
   assert.deepEqual(select(open, 'sent'), ['sent', 'engine']);
 });
 
-test('an inherited order of an endpoint holds up that endpoint only', () => {
+test('an inherited order to an endpoint delays only that endpoint', () => {
   const open = [
     createOrder('sent', 'engine-1'),
     createOrder('next', 'engine-1'),
@@ -32,6 +32,6 @@
   assert.deepEqual(select(open, 'sent'), ['sent', 'other']);
 });
 
-test('all are given once nothing inherited is open', () => {
+test('all orders are selected once no inherited order is open', () => {
   assert.deepEqual(select([createOrder('a'), createOrder('b')], 'gone'), ['a', 'b']);
 });
--- a/packages/control/src/testing/GroupWorkload.ts
+++ b/packages/control/src/testing/GroupWorkload.ts
@@ -13,12 +13,12 @@
 const ORDER_INTERVAL_MS = 60;
 const METER_INTERVAL_MS = 100;
 
-/** Gives orders and hands in usage without pause, and remembers what was accepted. @internal */
+/** Submits orders and usage continuously, and records what the group acknowledged. @internal */
 export class GroupWorkload {
-  /** Orders whose record the group has acknowledged. */
+  /** Ids of the orders that the group has acknowledged. */
   readonly accepted: string[] = [];
 
-  /** Tokens handed in and acknowledged. */
+  /** Number of output tokens that the group has acknowledged. */
   acknowledgedTokens = 0;
 
   readonly #group: OperatorGroup;
@@ -51,7 +51,7 @@
   start(): void {
     this.#subscription.open();
     this.#loops.push(this.#submitOrders(), this.#submitUsage());
-    // An error is thrown by `stop`; until then it is no unhandled rejection.
+    // `stop` rethrows an error of a loop; this avoids an unhandled rejection until then.
     for (const loop of this.#loops) loop.catch(() => {});
   }
 
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Hands a record in until it is acknowledged. */
+  /** Resends a record until it is acknowledged. */
   async #submitRecord(record: MeterRecord): Promise<void> {
     const endpoint = asId<'endpoint'>('engine-1');
     const batch = { endpoint, incarnation: this.#incarnation, records: [record] };
--- a/packages/control/src/testing/OperatorGroup.ts
+++ b/packages/control/src/testing/OperatorGroup.ts
@@ -5,7 +5,7 @@
 const RETRY_DELAY_MS = 50;
 const TOTAL_TIMEOUT_MS = 30_000;
 
-/** Refusals that say nothing about the change: no leader, or a change of leader. */
+/** Errors that leave the outcome of a change open: no leader, or a change of leader. */
 const TRANSIENT = /^(3100|120[0-8]):/;
 
 function createClient(address: string) {
@@ -19,21 +19,21 @@
 
 export type OperatorClient = ReturnType<typeof createClient>;
 
-/** Asks the replicas of a deployment in turn, and resends after a lost answer. @internal */
+/** Calls the replicas of a deployment in turn, and retries after a lost response. @internal */
 export class OperatorGroup {
-  /** Answers that were lost or passing, so that the question was sent again. */
+  /** Number of retries after lost responses and transient errors. */
   resends = 0;
 
   readonly #clients: OperatorClient[];
 
-  /** The replica that answered last; each question goes on from there by itself. */
+  /** Counter that selects the replica that responded last; each call starts from there. */
   #current = 0;
 
   constructor(addresses: string) {
     this.#clients = addresses.split(',').map(createClient);
   }
 
-  /** @throws the refusal of the group, or the last error after 30 s. */
+  /** @throws the first error of the group that is not transient, or the last error after 30 s. */
   async call<T>(operation: (client: OperatorClient) => Promise<T>): Promise<T> {
     const deadline = Date.now() + TOTAL_TIMEOUT_MS;
     for (let next = this.#current; ; next += 1) {
--- a/packages/control/src/testing/startGroup.ts
+++ b/packages/control/src/testing/startGroup.ts
@@ -13,10 +13,10 @@
 plan = "basic"
 `;
 
-/** Length of usage windows in these tests. */
+/** Short usage windows, so that they close during a test. */
 const CONTROL_SETTINGS = 'usage_window_ms = 1000\n';
 
-/** A deployment of control replicas and the platform behind relays, with what tests do to it. @internal */
+/** A deployment of control replicas and the platform behind relays that can inject faults. @internal */
 export class ReplicaGroup {
   readonly deployment: Deployment;
 
@@ -43,7 +43,7 @@
     return Array.from({ length: this.#replicaCount }, (_, index) => `control-${index + 1}`);
   }
 
-  /** Addresses of the replicas for nodes. */
+  /** Addresses at which the replicas serve nodes. */
   get nodeAddresses(): string[] {
     const operators = this.deployment.operatorAddresses.split(',');
     return operators.map((address) => {
@@ -52,7 +52,7 @@
     });
   }
 
-  /** Status of the leader. */
+  /** Returns the status of the leader. */
   leader() {
     return this.operators.call(async (client) => {
       await client.position.query();
@@ -60,22 +60,25 @@
     });
   }
 
-  /** Cuts a replica from the platform alone, so that orders wait on the way. */
+  /** Partitions a replica from the platform only, so that its orders are delayed in flight. */
   partitionFromPlatform(name: string): void {
     this.deployment.relay(name, 'platform').set('silent');
   }
 
-  /** Cuts a replica from the platform when that has asked for the body of an order, and holds it. */
+  /**
+   * Delays the body of the replica's next order: partitions the replica from the platform once the
+   * platform has asked for the body.
+   */
   holdNextBody(name: string): void {
     this.deployment.relay(name, 'platform').silenceAfterReply();
   }
 
-  /** Cuts a replica from the others and the platform, in silence; bytes on the way wait. */
+  /** Partitions a replica from the other replicas and the platform; bytes in flight are delayed. */
   partition(name: string): void {
     for (const relay of this.#relaysOf(name)) relay.set('silent');
   }
 
-  /** Heals a cut and lets the bytes go. */
+  /** Heals a partition and delivers the delayed bytes. */
   heal(name: string): void {
     for (const relay of this.#relaysOf(name)) relay.set('pass');
   }
