--- a/packages/control/src/lib/MemberTable.test.ts
+++ b/packages/control/src/lib/MemberTable.test.ts
@@ -32,7 +32,7 @@
   return { timer, members, changes };
 }
 
-test('a member is leaving if the platform, an order or the sidecar marks it so', () => {
+test('the platform, an order or the sidecar can mark a member as leaving', () => {
   const listed = createTable();
   const instance = { endpoint: asId<'endpoint'>('engine-1'), instance: 'i-1' };
   const entry = { ...instance, dataCentre: asId<'dataCentre'>('naas') };
--- a/packages/control/src/lib/MemberTable.ts
+++ b/packages/control/src/lib/MemberTable.ts
@@ -14,7 +14,7 @@
 /**
  * The endpoints known to the leader. This is soft state, merged from the announcements of the
  * sidecars, the platform's list, which may lag behind, and the group's own stop orders. A member is
- * `leaving` if any of the three has it so.
+ * `leaving` if any of these sources marks it as leaving.
  * @public
  */
 export class MemberTable implements Disposable {
--- a/packages/control/src/lib/OrderSender.ts
+++ b/packages/control/src/lib/OrderSender.ts
@@ -30,8 +30,8 @@
 
 /**
  * Sends the recorded orders to the platform and to the sidecars of engines while this replica leads
- * under its lease. Each sending is committed to the log first. An order without an answer is resent
- * with the same id and bytes and never replaced by a new order.
+ * under its lease. Before each attempt, a record of it is committed to the log. An order without an
+ * answer is resent with the same id and bytes and never replaced by a new order.
  * @public
  */
 export class OrderSender extends PlatformTask {
--- a/packages/control/src/lib/Publisher.ts
+++ b/packages/control/src/lib/Publisher.ts
@@ -76,7 +76,7 @@
 
   /**
    * Starts to publish. For one lease period after this call, nodes may hold leases from another
-   * publisher. They keep their former members until all nodes have had time to connect.
+   * publisher. Nodes keep members that are missing here until all nodes have had time to connect.
    */
   open(): void {
     this.#publishingSince = this.#options.timer.now();
--- a/packages/control/src/lib/events.ts
+++ b/packages/control/src/lib/events.ts
@@ -53,7 +53,7 @@
   orderSent: {
     number: 3110,
     level: 'info',
-    meaning: 'An order is about to be sent; the sending is committed.',
+    meaning: 'An order is about to be sent; a record of the attempt is committed.',
     action: 'none',
   },
   orderAnswered: {
