--- a/packages/control/src/lib/Control.ts
+++ b/packages/control/src/lib/Control.ts
@@ -17,16 +17,16 @@
   readonly identity?: LinkIdentity;
 }
 
-/** Interval at which the replica's health is looked at. */
+/** Interval between health checks of the replica. */
 const HEALTH_INTERVAL_MS = 500;
 
-/** One control replica: replicated state, feed to the nodes, and the operators' service. @public */
+/** One control replica: replicates the state, feeds the nodes and serves operators. @public */
 export class Control extends Task {
   readonly name = 'control';
 
   readonly #options: ControlOptions;
 
-  readonly #links: LinkServer;
+  readonly #linkServer: LinkServer;
 
   readonly #transport: PeerTransport;
 
@@ -34,17 +34,17 @@
 
   #fail: (failure: Failure) => void = () => {};
 
-  /** Rejects when the replica has stopped by itself. */
+  /** Rejects when the replica has failed. */
   readonly #failed = new Promise<never>((_, reject) => {
     this.#fail = reject;
   });
 
-  #operators: OperatorServer | undefined;
+  #operatorServer: OperatorServer | undefined;
 
   constructor(options: ControlOptions) {
     super();
     this.#options = options;
-    this.#links = new LinkServer(options.identity);
+    this.#linkServer = new LinkServer(options.identity);
     const { voters } = options.settings;
     const addresses = new Map(voters.map(({ replica, address }) => [replica, address]));
     this.#transport = this.store.add(
@@ -55,7 +55,7 @@
     );
   }
 
-  /** @throws Failure `dataFolderUnusable`, or one of the replicated log. */
+  /** @throws Failure `dataFolderUnusable`, or a failure of the replicated log. */
   override async start(): Promise<void> {
     const { settings, timer, journal } = this.#options;
     const ledger = new Ledger();
@@ -63,31 +63,31 @@
     const log = await openReplica({ settings, timer, journal, machine: ledger, transport });
     this.#log = log;
     const core = this.store.add(new ControlCore({ settings, timer, journal, log, ledger }));
-    transport.serve(this.#links);
-    core.open(this.#links);
-    this.#operators = new OperatorServer(core.service);
-    await this.#links.listen(settings.listen);
-    await this.#operators.listen(settings.operator);
+    transport.serve(this.#linkServer);
+    core.open(this.#linkServer);
+    this.#operatorServer = new OperatorServer(core.service);
+    await this.#linkServer.listen(settings.listen);
+    await this.#operatorServer.listen(settings.operator);
     this.store.add(timer.every(HEALTH_INTERVAL_MS, () => this.#checkHealth()));
     journal.record(controlEvents.controlListening, { listen: settings.listen });
   }
 
-  /** Runs until it is stopped, or until the replica fails: its disk can not be trusted then. */
+  /** Runs until it is stopped or the replica fails, after which its disk can not be trusted. */
   override async run(): Promise<void> {
     await Promise.race([super.run(), this.#failed]);
   }
 
-  /** Hands leadership over first, so that the group is not without a leader for an election. */
+  /** Transfers leadership first, so that the group does not go without a leader for an election. */
   override async stop(): Promise<void> {
     await this.#log?.transferLeadership();
-    await this.#operators?.close();
+    await this.#operatorServer?.close();
     await super.stop();
     await this.#log?.close();
-    await this.#links.close();
+    await this.#linkServer.close();
   }
 
   protected override handle(): void {
-    // Messages come over links.
+    // Messages arrive over links.
   }
 
   #checkHealth(): void {
--- a/packages/control/src/lib/ControlCore.ts
+++ b/packages/control/src/lib/ControlCore.ts
@@ -3,20 +3,20 @@
 import type { Ledger } from '@berylwood/ledger';
 import type { LinkServer } from '@berylwood/link';
 import type { ControlSettings } from '@berylwood/schema';
-import { foundConfiguration } from './foundConfiguration';
+import { applyInitialConfiguration } from './applyInitialConfiguration';
 import { InForceMonitor } from './InForceMonitor';
 import { InstanceLister } from './InstanceLister';
 import { Leadership } from './Leadership';
 import { MemberTable } from './MemberTable';
 import { NodeServer } from './NodeServer';
 import { OperatorService } from './OperatorService';
-import { OrderGiver } from './OrderGiver';
+import { OrderSender } from './OrderSender';
 import { PlatformClient } from './PlatformClient';
 import { Proposer } from './Proposer';
 import { Publisher } from './Publisher';
 import { UsageReporter } from './UsageReporter';
 
-/** What the parts of a control replica work on. @internal */
+/** Options of the core of a control replica. @internal */
 export interface ControlCoreOptions {
   readonly settings: ControlSettings;
   readonly timer: Timer;
@@ -25,7 +25,7 @@
   readonly ledger: Ledger;
 }
 
-/** The parts of a control replica around its log: owns them and connects them. @internal */
+/** Creates, owns and connects the components of a control replica, except for its log. @internal */
 export class ControlCore implements Disposable {
   readonly service: OperatorService;
 
@@ -39,7 +39,7 @@
 
   readonly #publisher: Publisher;
 
-  readonly #nodes: NodeServer;
+  readonly #nodeServer: NodeServer;
 
   constructor(options: ControlCoreOptions) {
     this.#options = options;
@@ -61,13 +61,13 @@
     const parts = { ...options, leadership, proposer, publisher, members, platform };
     const monitor = new InForceMonitor(parts);
     this.service = new OperatorService({ ...parts, monitor });
-    this.#nodes = new NodeServer(parts);
-    for (const Task of [OrderGiver, UsageReporter, InstanceLister]) {
+    this.#nodeServer = new NodeServer(parts);
+    for (const Task of [OrderSender, UsageReporter, InstanceLister]) {
       this.#store.add(new Task(parts)).open();
     }
   }
 
-  /** Connects the parts, and begins to lead when the log says so. */
+  /** Connects the components; starts leading once this replica is elected and has its fencing number. */
   open(server: LinkServer): void {
     const { log, ledger } = this.#options;
     const publisher = this.#publisher;
@@ -77,14 +77,14 @@
     };
     ledger.onRestore = () => publisher.publishSnapshot();
     this.#leadership.onEstablished = () => {
-      this.#lead();
+      this.#startLeading();
     };
     this.#leadership.onLost = () => {
-      this.#nodes.close();
+      this.#nodeServer.close();
       publisher.close();
       this.#members.clear();
     };
-    this.#nodes.serve(server);
+    this.#nodeServer.serve(server);
     this.#leadership.open();
   }
 
@@ -92,13 +92,13 @@
     this.#store[Symbol.dispose]();
   }
 
-  /** Takes in nodes once there is a configuration for them. */
-  async #lead(): Promise<void> {
+  /** Applies the initial configuration if there is none, then accepts nodes. */
+  async #startLeading(): Promise<void> {
     const { settings, ledger, journal } = this.#options;
     const { fence } = this.#leadership;
-    await foundConfiguration({ settings, ledger, journal, service: this.service });
+    await applyInitialConfiguration({ settings, ledger, journal, service: this.service });
     if (!this.#leadership.isLeading || this.#leadership.fence !== fence) return;
     this.#publisher.open();
-    this.#nodes.open();
+    this.#nodeServer.open();
   }
 }
--- a/packages/control/src/lib/MemberTable.ts
+++ b/packages/control/src/lib/MemberTable.ts
@@ -1,103 +1,105 @@
 import { DisposableStore, type Timer } from '@berylwood/base';
 import type { EndpointId, IncarnationId, Member, PlatformInstance } from '@berylwood/schema';
 
-/** Time for which a member stays known after the connection of its sidecar is lost. */
+/** Time for which a member is kept after the connection of its sidecar is lost. */
 const GRACE_MS = 5000;
 
-interface Announced {
+interface Announcement {
   readonly member: Member;
-  /** Who announced it last: the process of the sidecar, or the observer before it. */
+  /** Process that announced the member last: its sidecar, or the observer in front of the sidecar. */
   readonly source: string;
   removal?: Disposable;
 }
 
 /**
- * The endpoints as the leader knows them: soft state, joined from announcements of the sidecars,
- * the platform's lagging list and the group's own orders. "Leaving" from any of them wins.
+ * The endpoints known to the leader. This is soft state, merged from the announcements of the
+ * sidecars, the platform's list, which may lag behind, and the group's own stop orders. A member is
+ * `leaving` if any of these sources marks it as leaving.
  * @public
  */
 export class MemberTable implements Disposable {
-  /** Called with each difference. */
+  /** Called with the changed and removed members after each change. */
   onChange: (changed: Member[], removed: EndpointId[]) => void = () => {};
 
   readonly #timer: Timer;
 
-  readonly #announced = new Map<EndpointId, Announced>();
+  readonly #announced = new Map<EndpointId, Announcement>();
 
   readonly #store = new DisposableStore();
 
-  /** States as last published after a change of the list or the orders. */
+  /** State of each member as last published. */
   readonly #published = new Map<EndpointId, Member['state']>();
 
-  /** Endpoints that leave, with their instance, by the platform's list. */
+  /** Endpoints that are leaving according to the platform's list, with their instance. */
   #listedLeaving = new Map<EndpointId, string>();
 
-  /** Runs of sidecars whose endpoints the group has ordered to stop. */
-  #stopped = new Set<IncarnationId>();
+  /** Incarnations of sidecars whose endpoints the group has ordered to stop. */
+  #stoppedIncarnations = new Set<IncarnationId>();
 
   constructor(timer: Timer) {
     this.#timer = timer;
   }
 
-  /** Members with their joined state. */
+  /** Members with their merged state. */
   get members(): Member[] {
-    return [...this.#announced.values()].map(({ member }) => this.#join(member));
+    return [...this.#announced.values()].map(({ member }) => this.#mergeState(member));
   }
 
   find(endpoint: EndpointId): Member | undefined {
     const announced = this.#announced.get(endpoint);
-    return announced && this.#join(announced.member);
+    return announced && this.#mergeState(announced.member);
   }
 
-  /** Process over whose connection the member was announced last. */
+  /** Process that announced the member last. */
   sourceOf(endpoint: EndpointId): string | undefined {
     return this.#announced.get(endpoint)?.source;
   }
 
-  /** Takes an announcement of a sidecar. */
+  /** Adds or updates a member from a sidecar's announcement. */
   announce(member: Member, source: string): void {
     const known = this.#announced.get(member.endpoint);
     if (known?.removal) this.#store.release(known.removal);
     this.#announced.set(member.endpoint, { member, source });
-    const before = known && this.#join(known.member);
-    const after = this.#join(member);
+    const before = known && this.#mergeState(known.member);
+    const after = this.#mergeState(member);
     this.#published.set(member.endpoint, after.state);
     if (JSON.stringify(before) !== JSON.stringify(after)) this.onChange([after], []);
   }
 
   /**
-   * Takes the loss of a connection. A leaving member goes at once; another stays for a time, as its
-   * sidecar may have lost only this connection and refuses work by itself when it is not fresh.
+   * Handles the loss of a connection. A leaving member is removed at once. Any other member is kept
+   * for a grace period: its sidecar may have lost only this connection, and rejects work by itself
+   * when its state is not fresh.
    */
   withdraw(endpoint: EndpointId, source: string): void {
     const known = this.#announced.get(endpoint);
     if (!known || known.source !== source || known.removal) return;
-    if (this.#join(known.member).state === 'leaving') this.#remove(endpoint);
+    if (this.#mergeState(known.member).state === 'leaving') this.#remove(endpoint);
     else {
       const removal = this.#timer.after(GRACE_MS, () => this.#remove(endpoint));
       known.removal = this.#store.add(removal);
     }
   }
 
-  /** Takes the platform's list. */
+  /** Applies the platform's list. */
   setPlatformList(instances: readonly PlatformInstance[]): void {
     const leaving = instances.filter(({ state }) => state === 'leaving');
     this.#listedLeaving = new Map(leaving.map(({ endpoint, instance }) => [endpoint, instance]));
     this.#publishStates();
   }
 
-  /** Takes the runs that the group's own orders stop. */
-  setStopped(incarnations: readonly IncarnationId[]): void {
-    this.#stopped = new Set(incarnations);
+  /** Sets the incarnations that the group's own orders stop. */
+  setStoppedIncarnations(incarnations: readonly IncarnationId[]): void {
+    this.#stoppedIncarnations = new Set(incarnations);
     this.#publishStates();
   }
 
-  /** Forgets everything, when this replica ceases to lead. */
+  /** Discards all members when this replica stops leading. */
   clear(): void {
     this.#store.clear();
     this.#announced.clear();
     this.#listedLeaving.clear();
-    this.#stopped.clear();
+    this.#stoppedIncarnations.clear();
     this.#published.clear();
   }
 
@@ -114,10 +116,10 @@
     if (changed.length > 0) this.onChange(changed, []);
   }
 
-  #join(member: Member): Member {
+  #mergeState(member: Member): Member {
     const isLeaving =
       this.#listedLeaving.get(member.endpoint) === member.instance ||
-      this.#stopped.has(member.incarnation);
+      this.#stoppedIncarnations.has(member.incarnation);
     return isLeaving ? { ...member, state: 'leaving' } : member;
   }
 
--- a/packages/control/src/lib/PlatformClient.ts
+++ b/packages/control/src/lib/PlatformClient.ts
@@ -9,31 +9,31 @@
 export interface PlatformRequest {
   readonly path: string;
   readonly body: string;
-  /** Names the order or window, so that the platform knows a resend. */
+  /** Id of the order or window, by which the platform recognizes a resend. */
   readonly id: string;
   readonly fence: number;
-  /** Asked in the tick in which the body is written. */
+  /** Called in the tick in which the body is written; the request is aborted if it returns false. */
   readonly mayWrite: () => boolean;
 }
 
-/** The platform's answer. @public */
-export interface PlatformAnswer {
+/** Response of the platform. @public */
+export interface PlatformResponse {
   readonly status: number;
   readonly body: string;
 }
 
-/** Longest time from the start of a request to its answer, in milliseconds. @public */
+/** Maximum time from the start of a request to its response, in milliseconds. @public */
 export const REQUEST_DEADLINE_MS = 250;
 
-/** Longest answer that is read, in bytes. */
-const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
+/** Maximum size of a response body. */
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
 const CONTINUE_HEADERS = { expect: '100-continue', connection: 'close' };
 
 /**
- * Calls the platform over a fresh connection for each request. With `Expect: 100-continue` the body
- * is written only after a live round trip to the platform, in the tick of the last lease check; at
- * the deadline the connection is reset, so that no kernel holds bytes to be sent later.
+ * Calls the platform over a new connection for each request. With `Expect: 100-continue` the body is
+ * written only after a round trip to the platform, in the same tick as the last lease check. At the
+ * deadline the connection is reset, so that the kernel keeps no bytes that it would send later.
  * @public
  */
 export class PlatformClient {
@@ -50,14 +50,14 @@
     this.#timer = timer;
   }
 
-  /** Sends a request; a failure says whether its body can have reached the platform. */
+  /** Sends a request. `notRun` of a failure is `unknown` if the body can have reached the platform. */
   send({
     path,
     body,
     id,
     fence,
     mayWrite,
-  }: PlatformRequest): Promise<Result<PlatformAnswer, Failure>> {
+  }: PlatformRequest): Promise<Result<PlatformResponse, Failure>> {
     const headers = {
       ...CONTINUE_HEADERS,
       'content-type': 'application/json',
@@ -75,14 +75,14 @@
       isWritten = true;
       request.end(body);
     });
-    return this.#settle(request, () => (isWritten ? 'unknown' : true));
+    return this.#awaitResponse(request, () => (isWritten ? 'unknown' : true));
   }
 
-  /** The platform's lagging list of instances. */
+  /** Fetches the platform's list of instances, which may lag behind. */
   async list(): Promise<Result<PlatformInstance[], Failure>> {
     const request = this.#start('GET', '/instances', { connection: 'close' });
     request.end();
-    const answer = await this.#settle(request, () => true);
+    const answer = await this.#awaitResponse(request, () => true);
     return answer.andThen(({ body }) => {
       const parsed = platformListSchema.safeParse(JSON.parse(body));
       if (parsed.success) return ok(parsed.data.instances);
@@ -95,27 +95,27 @@
     return startRequest({ host, port, method, path, headers, agent: false });
   }
 
-  #settle(
+  #awaitResponse(
     request: ClientRequest,
     notRun: () => true | 'unknown',
-  ): Promise<Result<PlatformAnswer, Failure>> {
+  ): Promise<Result<PlatformResponse, Failure>> {
     return new Promise((resolve) => {
-      const lose = (message: string): void =>
+      const failWith = (message: string): void =>
         resolve(fail(controlCodes.platformFailed, message, { notRun: notRun() }));
       const deadline = this.#timer.after(REQUEST_DEADLINE_MS, () => {
-        lose(`no answer within ${REQUEST_DEADLINE_MS} ms`);
+        failWith(`no answer within ${REQUEST_DEADLINE_MS} ms`);
         request.socket?.resetAndDestroy();
         request.destroy();
       });
-      request.once('error', (error) => lose(error.message));
+      request.once('error', (error) => failWith(error.message));
       request.once('close', () => {
         deadline[Symbol.dispose]();
-        lose('the connection was closed');
+        failWith('the connection was closed');
       });
       request.once('response', (response) => {
         readText(response).then(
           (body) => resolve(ok({ status: response.statusCode ?? 0, body })),
-          (error: Error) => lose(error.message),
+          (error: Error) => failWith(error.message),
         );
       });
     });
@@ -127,7 +127,7 @@
   let size = 0;
   for await (const chunk of response) {
     size += (chunk as Buffer).byteLength;
-    if (size > MAX_ANSWER_BYTES) throw new Error('the answer is too long');
+    if (size > MAX_RESPONSE_BYTES) throw new Error('the answer is too long');
     chunks.push(chunk as Buffer);
   }
   return Buffer.concat(chunks).toString();
--- a/packages/control/src/lib/foundConfiguration.ts
+++ b/packages/control/src/lib/applyInitialConfiguration.ts
@@ -11,8 +11,8 @@
 import { controlEvents } from './events';
 import { hashSecret, type OperatorService } from './OperatorService';
 
-/** What the first configuration is applied with. @internal */
-export interface FoundingOptions {
+/** Options for applying the initial configuration. @internal */
+export interface InitialConfigurationOptions {
   readonly settings: ControlSettings;
   readonly ledger: Ledger;
   readonly journal: Journal;
@@ -20,11 +20,13 @@
 }
 
 /**
- * Applies the lists named in the settings when the group has no configuration yet. Made against
- * revision 0, they never replace lists that an operator has applied.
+ * Applies the plans and customers files named in the settings if the group has no configuration yet.
+ * The change expects revision 0, so it never replaces lists that an operator has applied.
  * @internal
  */
-export async function foundConfiguration(options: FoundingOptions): Promise<void> {
+export async function applyInitialConfiguration(
+  options: InitialConfigurationOptions,
+): Promise<void> {
   const { settings, ledger, journal, service } = options;
   const { plans, customers, demoKey } = settings;
   if (ledger.feed.revision > 0 || !plans || !customers) return;
--- a/packages/control/src/lib/openReplica.ts
+++ b/packages/control/src/lib/openReplica.ts
@@ -11,8 +11,8 @@
 import { ok, type Result } from 'neverthrow';
 import { controlCodes } from './codes';
 
-/** What a replica is opened with. @internal */
-export interface ReplicaSurroundings {
+/** Options for opening a replica. @internal */
+export interface OpenReplicaOptions {
   readonly settings: ControlSettings;
   readonly timer: Timer;
   readonly journal: Journal;
@@ -20,37 +20,37 @@
   readonly transport: Transport;
 }
 
-/** Proposals of one command are bounded by the parts of a backup and the largest configuration. */
+/** Maximum size of a command; must fit a part of a backup and the largest configuration. */
 const MAX_COMMAND_BYTES = 4 * 1024 * 1024;
 
-/** Checks that the data folder exists and can be written; it is never created here. @internal */
-export function checkDataFolder(folder: string): Result<void, Failure> {
+/** Checks that the data directory exists and is writable. Never creates it. @internal */
+export function checkDataDirectory(directory: string): Result<void, Failure> {
   try {
-    if (!statSync(folder).isDirectory()) {
-      return fail(controlCodes.dataFolderUnusable, `data folder ${folder} is not a folder`);
+    if (!statSync(directory).isDirectory()) {
+      return fail(controlCodes.dataFolderUnusable, `data folder ${directory} is not a folder`);
     }
-    // eslint-disable-next-line no-bitwise -- the flags of access are combined by bits
-    accessSync(folder, constants.R_OK | constants.W_OK | constants.X_OK);
+    // eslint-disable-next-line no-bitwise -- access modes are bit flags
+    accessSync(directory, constants.R_OK | constants.W_OK | constants.X_OK);
     return ok(undefined);
   } catch (error) {
     const { code } = error as NodeJS.ErrnoException;
     const reason = code === 'ENOENT' ? 'does not exist' : `can not be written (${code})`;
-    return fail(controlCodes.dataFolderUnusable, `data folder ${folder} ${reason}`);
+    return fail(controlCodes.dataFolderUnusable, `data folder ${directory} ${reason}`);
   }
 }
 
 /**
- * Opens the replica of the settings. Of a new group, the replica whose name sorts first is the
- * founder; it founds the group once all others have answered that they belong to none.
- * @throws Failure when the folder or its files can not be used.
+ * Opens the replica described by the settings. The replica whose name sorts first bootstraps a new
+ * group, once all other replicas have replied that they belong to no group.
+ * @throws Failure when the data directory or its files can not be used.
  * @internal
  */
-export async function openReplica(surroundings: ReplicaSurroundings): Promise<Replica> {
-  const { settings, timer, journal, machine, transport } = surroundings;
-  const checked = checkDataFolder(settings.data);
+export async function openReplica(options: OpenReplicaOptions): Promise<Replica> {
+  const { settings, timer, journal, machine, transport } = options;
+  const checked = checkDataDirectory(settings.data);
   if (checked.isErr()) throw checked.error;
-  const others = settings.voters.map(({ replica }) => replica);
-  const isFirst = others.every((other) => settings.replica < other);
+  const voterNames = settings.voters.map(({ replica }) => replica);
+  const isFirst = voterNames.every((other) => settings.replica < other);
   const opened = await Replica.open({
     replica: createReplicaName(settings.replica),
     machine,
@@ -60,7 +60,7 @@
     journal,
     random: new Random(Math.floor(Math.random() * 2 ** 31)),
     address: settings.announce ?? settings.listen,
-    seeds: others.map(createReplicaName),
+    seeds: voterNames.map(createReplicaName),
     founder: isFirst && !settings.join,
     maxCommandBytes: MAX_COMMAND_BYTES,
   });
--- a/packages/control/src/testing/startGroup.ts
+++ b/packages/control/src/testing/startGroup.ts
@@ -13,19 +13,19 @@
 plan = "basic"
 `;
 
-/** Length of usage windows in these tests. */
-const SETTINGS = 'usage_window_ms = 1000\n';
+/** Short usage windows, so that they close during a test. */
+const CONTROL_SETTINGS = 'usage_window_ms = 1000\n';
 
-/** A deployment of control replicas and the platform behind relays, with what tests do to it. @internal */
+/** A deployment of control replicas and the platform behind relays that can inject faults. @internal */
 export class ReplicaGroup {
   readonly deployment: Deployment;
 
   readonly operators: OperatorGroup;
 
-  readonly #count: number;
+  readonly #replicaCount: number;
 
   constructor(count: number) {
-    this.#count = count;
+    this.#replicaCount = count;
     this.deployment = new Deployment({
       entries: 0,
       controls: count,
@@ -34,16 +34,16 @@
       relays: true,
       plans: PLANS,
       customers: CUSTOMERS,
-      extra: { control: SETTINGS },
+      extra: { control: CONTROL_SETTINGS },
     });
     this.operators = new OperatorGroup(this.deployment.operatorAddresses);
   }
 
   get names(): string[] {
-    return Array.from({ length: this.#count }, (_, index) => `control-${index + 1}`);
+    return Array.from({ length: this.#replicaCount }, (_, index) => `control-${index + 1}`);
   }
 
-  /** Addresses of the replicas for nodes. */
+  /** Addresses at which the replicas serve nodes. */
   get nodeAddresses(): string[] {
     const operators = this.deployment.operatorAddresses.split(',');
     return operators.map((address) => {
@@ -52,30 +52,33 @@
     });
   }
 
-  /** Status of the leader. */
+  /** Returns the status of the leader. */
   leader() {
-    return this.operators.ask(async (client) => {
+    return this.operators.call(async (client) => {
       await client.position.query();
       return client.status.query();
     });
   }
 
-  /** Cuts a replica from the platform alone, so that orders wait on the way. */
-  cutPlatform(name: string): void {
+  /** Partitions a replica from the platform only, so that its orders are delayed in flight. */
+  partitionFromPlatform(name: string): void {
     this.deployment.relay(name, 'platform').set('silent');
   }
 
-  /** Cuts a replica from the platform when that has asked for the body of an order, and holds it. */
+  /**
+   * Delays the body of the replica's next order: partitions the replica from the platform once the
+   * platform has asked for the body.
+   */
   holdNextBody(name: string): void {
     this.deployment.relay(name, 'platform').silenceAfterReply();
   }
 
-  /** Cuts a replica from the others and the platform, in silence; bytes on the way wait. */
-  cut(name: string): void {
+  /** Partitions a replica from the other replicas and the platform; bytes in flight are delayed. */
+  partition(name: string): void {
     for (const relay of this.#relaysOf(name)) relay.set('silent');
   }
 
-  /** Heals a cut and lets the bytes go. */
+  /** Heals a partition and delivers the delayed bytes. */
   heal(name: string): void {
     for (const relay of this.#relaysOf(name)) relay.set('pass');
   }
