--- a/packages/policy/src/lib/FairScheduler.test.ts
+++ b/packages/policy/src/lib/FairScheduler.test.ts
@@ -10,12 +10,7 @@
   createJob,
   createLoad,
 } from '../fixtures';
-import {
-  Simulation,
-  type Arrival,
-  type SimulationOptions,
-  type Trace,
-} from '../fixtures/Simulation';
+import { Simulation, type Arrival, type SimulationSetup, type Trace } from '../fixtures/Simulation';
 import { FairScheduler } from './FairScheduler';
 import type { Decision } from './Job';
 import { FairLocalQueue } from './local/FairLocalQueue';
@@ -197,10 +192,10 @@
 function runSimulation(
   streams: readonly Stream[],
   endMs: number,
-  options: Partial<SimulationOptions> & { readonly entries?: number } = {},
+  options: Partial<SimulationSetup> & { readonly entries?: number } = {},
 ): Trace[] {
   const { entries = 3, seed = 1 } = options;
-  const exercise = new Simulation({
+  const simulation = new Simulation({
     schedulers: Array.from({ length: entries }, (_, i) => new FairScheduler({ seed: i + 1 })),
     queues: Array.from(
       { length: ENDPOINTS },
@@ -210,9 +205,9 @@
     configuration: createConfiguration({ classes: simulationClasses }),
     ...options,
   });
-  exercise.offer(createArrivals(streams, endMs, seed));
-  exercise.runUntil(endMs);
-  return [...exercise.traces.values()];
+  simulation.offer(createArrivals(streams, endMs, seed));
+  simulation.runUntil(endMs);
+  return [...simulation.traces.values()];
 }
 
 const meetsTarget = ({ firstTokenAt = Infinity, job }: Trace) => firstTokenAt <= job.targetAt;
