--- a/apps/berylwood/src/lib/backupCommands.ts
+++ b/apps/berylwood/src/lib/backupCommands.ts
@@ -1,6 +1,6 @@
 import { readFileSync, writeFileSync } from 'node:fs';
 import { Command } from 'commander';
-import { addOperatorOptions, ask, print, type OperatorOptions } from './operatorOptions';
+import { addOperatorOptions, callControl, print, type OperatorOptions } from './operatorOptions';
 
 /** A backup holds the hashes of keys and stored answers. */
 const BACKUP_MODE = 0o600;
@@ -10,7 +10,10 @@
   const backup = addOperatorOptions(new Command('backup').argument('<file>'))
     .description('write the state of the control group to a new file')
     .action(async (file: string, options: OperatorOptions) => {
-      const bytes = Buffer.from(await ask(options, (client) => client.backup.query()), 'base64');
+      const bytes = Buffer.from(
+        await callControl(options, (client) => client.backup.query()),
+        'base64',
+      );
       writeFileSync(file, bytes, { mode: BACKUP_MODE, flag: 'wx' });
       print(options, { file, bytes: bytes.byteLength }, `${bytes.byteLength} bytes in ${file}`);
     });
@@ -18,7 +21,9 @@
     .description('put a backup into a new control group')
     .action(async (file: string, options: OperatorOptions) => {
       const content = readFileSync(file).toString('base64');
-      const restored = await ask(options, (client) => client.restore.mutate({ backup: content }));
+      const restored = await callControl(options, (client) =>
+        client.restore.mutate({ backup: content }),
+      );
       const { revision, fence } = restored;
       print(options, restored, `restored as revision ${revision}, fencing number ${fence}`);
     });
--- a/apps/berylwood/src/lib/askOperator.ts
+++ b/apps/berylwood/src/lib/callOperatorService.ts
@@ -7,20 +7,20 @@
  * Codes of answers after which another replica, or a later time, may do: no leader, a change of
  * leader, a full queue. Asking again is safe, as a change carries its id.
  */
-const PASSING = ['3100', '1200', '1201', '1202', '1204', '1205', '1208'];
+const RETRYABLE_CODES = ['3100', '1200', '1201', '1202', '1204', '1205', '1208'];
 
-const LIMIT_MS = 20_000;
-const PAUSE_MS = 100;
+const RETRY_TIMEOUT_MS = 20_000;
+const RETRY_DELAY_MS = 100;
 
-function isRefusal(error: unknown): boolean {
+function isErrorResponse(error: unknown): boolean {
   return error instanceof TRPCClientError && error.data !== undefined && error.data !== null;
 }
 
-function isPassing(message: string): boolean {
-  return PASSING.some((code) => message.startsWith(`${code}:`));
+function isRetryable(message: string): boolean {
+  return RETRYABLE_CODES.some((code) => message.startsWith(`${code}:`));
 }
 
-function pause(durationMs: number): Promise<void> {
+function sleep(durationMs: number): Promise<void> {
   return new Promise((resolve) => {
     setTimeout(resolve, durationMs);
   });
@@ -31,21 +31,22 @@
  * @throws CommandError when the group refuses or can not be reached.
  * @internal
  */
-export async function askOperator<T>(
+export async function callOperatorService<T>(
   addresses: readonly string[],
-  ask: (client: OperatorClient) => Promise<T>,
+  call: (client: OperatorClient) => Promise<T>,
 ): Promise<T> {
-  const deadline = performance.now() + LIMIT_MS;
-  let last = '';
+  const deadline = performance.now() + RETRY_TIMEOUT_MS;
+  let lastError = '';
   for (let attempt = 0; performance.now() < deadline; attempt += 1) {
     const address = addresses[attempt % addresses.length] ?? '';
     try {
-      return await ask(createOperatorClient(address));
+      return await call(createOperatorClient(address));
     } catch (error) {
-      last = (error as Error).message;
-      if (isRefusal(error) && !isPassing(last)) throw new CommandError(ExitCode.Refused, last);
+      lastError = (error as Error).message;
+      if (isErrorResponse(error) && !isRetryable(lastError))
+        throw new CommandError(ExitCode.Refused, lastError);
     }
-    if ((attempt + 1) % addresses.length === 0) await pause(PAUSE_MS);
+    if ((attempt + 1) % addresses.length === 0) await sleep(RETRY_DELAY_MS);
   }
-  throw new CommandError(ExitCode.Unreachable, `no control replica answered: ${last}`);
+  throw new CommandError(ExitCode.Unreachable, `no control replica answered: ${lastError}`);
 }
--- a/apps/berylwood/src/lib/checkFile.test.ts
+++ b/apps/berylwood/src/lib/checkFile.test.ts
@@ -9,9 +9,9 @@
 
 /** Writes the scenario with one text replaced. */
 function writeScenario(context: TestContext, from: string, to: string): string {
-  const folder = mkdtempSync(join(tmpdir(), 'berylwood-check-'));
-  context.after(() => rmSync(folder, { recursive: true }));
-  const file = join(folder, 'scenario.toml');
+  const directory = mkdtempSync(join(tmpdir(), 'berylwood-check-'));
+  context.after(() => rmSync(directory, { recursive: true }));
+  const file = join(directory, 'scenario.toml');
   const text = readFileSync(SCENARIO, 'utf8');
   assert.ok(text.includes(from));
   writeFileSync(file, text.replace(from, to));
--- a/apps/berylwood/src/lib/createRoles.ts
+++ b/apps/berylwood/src/lib/createRoles.ts
@@ -3,7 +3,7 @@
 import { readIdentity } from './readIdentity';
 
 /** What all roles of a process share. @internal */
-export interface Surroundings {
+export interface ProcessContext {
   readonly timer: Timer;
   readonly journal: Journal;
   readonly metrics: Metrics;
@@ -25,7 +25,7 @@
 async function addGateway(
   tree: Supervisor,
   settings: Settings,
-  surroundings: Surroundings,
+  context: ProcessContext,
 ): Promise<Reloadable[]> {
   const { gateway } = settings;
   if (!gateway) return [];
@@ -36,7 +36,7 @@
   const { platform: address, instance: holder } = gateway;
   const platform = address === undefined ? undefined : new PlatformClient({ address, holder });
   const task = new Gateway({
-    ...surroundings,
+    ...context,
     settings: gateway,
     wire: new PlatformWire(),
     platform,
@@ -51,11 +51,11 @@
 async function addPoolRoles(
   tree: Supervisor,
   settings: Settings,
-  surroundings: Surroundings,
+  context: ProcessContext,
 ): Promise<void> {
   const { process, entry, control, observer, sidecars, standIns, tls } = settings;
   const identity = tls?.peers && readIdentity(tls.peers);
-  const shared = { ...surroundings, identity };
+  const shared = { ...context, identity };
   if (standIns.length > 0) {
     const { createStandIn } = await import('./createStandIn');
     for (const standIn of standIns) tree.add(() => createStandIn(standIn));
@@ -81,16 +81,16 @@
 }
 
 /** Creates the supervisor of the roles that the settings name, in the order of their start. @internal */
-export async function createRoles(settings: Settings, surroundings: Surroundings): Promise<Roles> {
-  const { timer, journal } = surroundings;
+export async function createRoles(settings: Settings, context: ProcessContext): Promise<Roles> {
+  const { timer, journal } = context;
   const { process, admin } = settings;
   // A restarted task can not take over its predecessor's connections, so nothing else restarts.
   const tree = new Supervisor({ name: process.name, timer, journal });
-  await addPoolRoles(tree, settings, surroundings);
-  const reloadable = await addGateway(tree, settings, surroundings);
+  await addPoolRoles(tree, settings, context);
+  const reloadable = await addGateway(tree, settings, context);
   if (admin) {
     const { AdminServer } = await import('./AdminServer');
-    tree.add(() => new AdminServer(admin.listen, surroundings));
+    tree.add(() => new AdminServer(admin.listen, context));
   }
   return { tree, reloadable };
 }
--- a/apps/berylwood/src/lib/deployTemplate.test.ts
+++ b/apps/berylwood/src/lib/deployTemplate.test.ts
@@ -48,9 +48,9 @@
 }
 
 function check(context: TestContext, change: Record<string, Value>): string[] {
-  const folder = mkdtempSync(join(tmpdir(), 'berylwood-template-'));
-  context.after(() => rmSync(folder, { recursive: true }));
-  const file = join(folder, 'settings.toml');
+  const directory = mkdtempSync(join(tmpdir(), 'berylwood-template-'));
+  context.after(() => rmSync(directory, { recursive: true }));
+  const file = join(directory, 'settings.toml');
   const template = readFileSync('deploy/gateway.toml.template', 'utf8');
   writeFileSync(file, render(template, createFields(change)));
   return checkFile(file);
--- a/apps/berylwood/src/lib/keysCommand.ts
+++ b/apps/berylwood/src/lib/keysCommand.ts
@@ -8,7 +8,7 @@
 import {
   addChangeOptions,
   addOperatorOptions,
-  ask,
+  callControl,
   beginChange,
   print,
   type OperatorOptions,
@@ -20,24 +20,24 @@
 /** Only the owner may read a file with a secret. */
 const SECRET_MODE = 0o600;
 
-interface GiveOptions extends OperatorOptions {
+interface GiveKeyOptions extends OperatorOptions {
   readonly secretFile?: string;
 }
 
 /** A new secret, or that of the file from an earlier try. */
-function chooseSecret({ secretFile }: GiveOptions): string {
+function chooseSecret({ secretFile }: GiveKeyOptions): string {
   if (secretFile && existsSync(secretFile)) return readFileSync(secretFile, 'utf8').trim();
   const secret = `bw-${randomBytes(SECRET_BYTES).toString('hex')}`;
   if (secretFile) writeFileSync(secretFile, `${secret}\n`, { mode: SECRET_MODE, flag: 'wx' });
   return secret;
 }
 
-async function giveKey(workspace: string, options: GiveOptions): Promise<void> {
+async function giveKey(workspace: string, options: GiveKeyOptions): Promise<void> {
   const secret = chooseSecret(options);
   const hash = hashSecret(secret);
   const change = await beginChange(options);
   const record = { key: createKeyId(), hash, workspace: asWorkspaceId(workspace) };
-  const given = await ask(options, (client) => client.giveKey.mutate({ change, record }));
+  const given = await callControl(options, (client) => client.giveKey.mutate({ change, record }));
   await waitInForce(options, given.index);
   const { key, hash: storedHash } = given.key ?? record;
   if (storedHash !== hash) {
@@ -50,7 +50,9 @@
 
 async function withdrawKey(key: KeyId, options: OperatorOptions): Promise<void> {
   const change = await beginChange(options);
-  const { index } = await ask(options, (client) => client.withdrawKey.mutate({ change, key }));
+  const { index } = await callControl(options, (client) =>
+    client.withdrawKey.mutate({ change, key }),
+  );
   await waitInForce(options, index);
   print(options, { change, index, inForce: true }, `${key} is withdrawn everywhere`);
 }
@@ -68,7 +70,7 @@
   addOperatorOptions(keys.command('list'))
     .description('keys in force, without their secrets')
     .action(async (options: OperatorOptions) => {
-      const listed = await ask(options, (client) => client.listKeys.query());
+      const listed = await callControl(options, (client) => client.listKeys.query());
       const lines = listed.map(({ key, workspace }) => `${key} ${workspace}`);
       print(options, listed, lines.join('\n'));
     });
--- a/apps/berylwood/src/lib/loadCommand.ts
+++ b/apps/berylwood/src/lib/loadCommand.ts
@@ -32,7 +32,7 @@
   readonly seed?: string;
 }
 
-function valueOf<T>(result: Result<T, Problem[]>): T {
+function unwrap<T>(result: Result<T, Problem[]>): T {
   if (result.isOk()) return result.value;
   throw new CommandError(ExitCode.InvalidFile, result.error.map(formatProblem).join('\n'));
 }
@@ -72,11 +72,11 @@
 }
 
 async function runLoad(file: string, options: LoadOptions): Promise<void> {
-  const read = valueOf(readToml(loadScenarioSchema, file));
-  const seed = options.seed === undefined ? read.load.seed : Number(options.seed);
-  const scenario = { ...read, load: { ...read.load, seed } };
+  const parsed = unwrap(readToml(loadScenarioSchema, file));
+  const seed = options.seed === undefined ? parsed.load.seed : Number(options.seed);
+  const scenario = { ...parsed, load: { ...parsed.load, seed } };
   const { plans, customers } = scenario.load;
-  const configuration = valueOf(loadConfiguration(plans, customers));
+  const configuration = unwrap(loadConfiguration(plans, customers));
   const keys = readKeys(scenario.load.keys);
   checkNames(file, scenario, configuration, keys);
   const timer = new SystemTimer();
--- a/apps/berylwood/src/lib/operatorCommands.ts
+++ b/apps/berylwood/src/lib/operatorCommands.ts
@@ -1,7 +1,7 @@
 import { Command } from 'commander';
 import { backupCommands } from './backupCommands';
 import { keysCommand } from './keysCommand';
-import { addOperatorOptions, ask, print, type OperatorOptions } from './operatorOptions';
+import { addOperatorOptions, callControl, print, type OperatorOptions } from './operatorOptions';
 import { ordersCommand } from './ordersCommand';
 import { plansCommand } from './plansCommand';
 import { replicasCommand } from './replicasCommand';
@@ -11,7 +11,7 @@
   return addOperatorOptions(new Command('status'))
     .description('state of the group, nodes, endpoints')
     .action(async (options: OperatorOptions) => {
-      const report = await ask(options, async (client) => {
+      const report = await callControl(options, async (client) => {
         // The leader answers first, so that a replica with old news is not asked.
         await client.position.query();
         return client.status.query();
--- a/apps/berylwood/src/lib/operatorOptions.ts
+++ b/apps/berylwood/src/lib/operatorOptions.ts
@@ -1,6 +1,6 @@
 import { createChangeId, type ChangeId } from '@berylwood/schema';
 import type { Command } from 'commander';
-import { askOperator } from './askOperator';
+import { callOperatorService } from './callOperatorService';
 import type { OperatorClient } from './createOperatorClient';
 
 const DEFAULT_CONTROL = '127.0.0.1:7071';
@@ -28,12 +28,12 @@
 }
 
 /** Asks the group that the options name. @internal */
-export function ask<T>(
+export function callControl<T>(
   options: OperatorOptions,
-  question: (client: OperatorClient) => Promise<T>,
+  call: (client: OperatorClient) => Promise<T>,
 ): Promise<T> {
   const addresses = options.control.split(',').map((address) => address.trim());
-  return askOperator(addresses, question);
+  return callOperatorService(addresses, call);
 }
 
 /**
@@ -43,7 +43,7 @@
  */
 export async function beginChange(options: OperatorOptions): Promise<ChangeId> {
   if (options.change) return options.change;
-  const { index } = await ask(options, (client) => client.position.query());
+  const { index } = await callControl(options, (client) => client.position.query());
   const change = createChangeId(index);
   process.stderr.write(`change ${change}\n`);
   return change;
--- a/apps/berylwood/src/lib/ordersCommand.ts
+++ b/apps/berylwood/src/lib/ordersCommand.ts
@@ -4,17 +4,17 @@
 import {
   addChangeOptions,
   addOperatorOptions,
-  ask,
+  callControl,
   beginChange,
   print,
   type OperatorOptions,
 } from './operatorOptions';
 
-async function give(action: OrderAction, options: OperatorOptions): Promise<void> {
+async function recordOrder(action: OrderAction, options: OperatorOptions): Promise<void> {
   const change = await beginChange(options);
   // The order is named after its change, so that a resend names the same order.
   const order = asId<'order'>(`ord-${change}`);
-  await ask(options, (client) => client.intendOrder.mutate({ change, order, action }));
+  await callControl(options, (client) => client.intendOrder.mutate({ change, order, action }));
   print(options, { change, order }, `${order} is recorded`);
 }
 
@@ -24,7 +24,7 @@
   addOperatorOptions(orders.command('list', { isDefault: true }))
     .description('the latest orders with their steps')
     .action(async (options: OperatorOptions) => {
-      const listed = await ask(options, (client) => client.orders.query());
+      const listed = await callControl(options, (client) => client.orders.query());
       const lines = listed.map(({ order, step, sends, action }) =>
         [order, step, `sent ${sends} times`, JSON.stringify(action)].join(' '),
       );
@@ -33,17 +33,17 @@
   addChangeOptions(orders.command('start <data-centre> <model>'))
     .description('order an endpoint of the platform')
     .action((dataCentre: string, model: string, options: OperatorOptions) =>
-      give({ type: 'start', dataCentre: asId(dataCentre), model }, options),
+      recordOrder({ type: 'start', dataCentre: asId(dataCentre), model }, options),
     );
   addChangeOptions(orders.command('stop <endpoint>'))
     .description('order the end of an endpoint; it is drained first')
     .action((endpoint: string, options: OperatorOptions) =>
-      give({ type: 'stop', endpoint: asId(endpoint) }, options),
+      recordOrder({ type: 'stop', endpoint: asId(endpoint) }, options),
     );
   addChangeOptions(orders.command('load <endpoint> <model>'))
     .description('order an engine to load a model')
     .action((endpoint: string, name: string, options: OperatorOptions) =>
-      give({ type: 'load', endpoint: asId(endpoint), kind: 'model', name }, options),
+      recordOrder({ type: 'load', endpoint: asId(endpoint), kind: 'model', name }, options),
     );
   return orders;
 }
--- a/apps/berylwood/src/lib/plansCommand.ts
+++ b/apps/berylwood/src/lib/plansCommand.ts
@@ -5,7 +5,7 @@
 import {
   addChangeOptions,
   addOperatorOptions,
-  ask,
+  callControl,
   beginChange,
   print,
   type OperatorOptions,
@@ -32,10 +32,10 @@
   }
   const expected = options.expect
     ? Number(options.expect)
-    : (await ask(options, (client) => client.position.query())).revision;
+    : (await callControl(options, (client) => client.position.query())).revision;
   const change = await beginChange(options);
   const { operator } = options;
-  const { index, revision } = await ask(options, (client) =>
+  const { index, revision } = await callControl(options, (client) =>
     client.applyPlans.mutate({ change, operator, expected, configuration: loaded.value }),
   );
   await waitInForce(options, index);
@@ -53,13 +53,13 @@
   addOperatorOptions(plans.command('show'))
     .description('the lists in force')
     .action(async (options: OperatorOptions) => {
-      const shown = await ask(options, (client) => client.showPlans.query());
+      const shown = await callControl(options, (client) => client.showPlans.query());
       print(options, shown, JSON.stringify(shown, undefined, 2));
     });
   addOperatorOptions(plans.command('history'))
     .description('who put which revision in force, and when')
     .action(async (options: OperatorOptions) => {
-      const revisions = await ask(options, (client) => client.history.query());
+      const revisions = await callControl(options, (client) => client.history.query());
       const lines = revisions.map(
         ({ revision, at, operator, change }) =>
           `${revision} ${new Date(at).toISOString()} ${operator} ${change}`,
--- a/apps/berylwood/src/lib/replicasCommand.ts
+++ b/apps/berylwood/src/lib/replicasCommand.ts
@@ -1,5 +1,5 @@
 import { Command } from 'commander';
-import { addOperatorOptions, ask, print, type OperatorOptions } from './operatorOptions';
+import { addOperatorOptions, callControl, print, type OperatorOptions } from './operatorOptions';
 
 interface Membership {
   readonly members: readonly {
@@ -25,17 +25,20 @@
   addOperatorOptions(replicas.command('list', { isDefault: true }))
     .description('voters, learners and admitted replicas')
     .action(async (options: OperatorOptions) =>
-      show(options, await ask(options, (client) => client.replicas.query())),
+      show(options, await callControl(options, (client) => client.replicas.query())),
     );
   addOperatorOptions(replicas.command('add <replica>'))
     .description('admit a replica, which becomes a voter once it has caught up')
     .action(async (replica: string, options: OperatorOptions) =>
-      show(options, await ask(options, (client) => client.addReplica.mutate({ replica }))),
+      show(options, await callControl(options, (client) => client.addReplica.mutate({ replica }))),
     );
   addOperatorOptions(replicas.command('remove <replica>'))
     .description('remove a replica from the group')
     .action(async (replica: string, options: OperatorOptions) =>
-      show(options, await ask(options, (client) => client.removeReplica.mutate({ replica }))),
+      show(
+        options,
+        await callControl(options, (client) => client.removeReplica.mutate({ replica })),
+      ),
     );
   return replicas;
 }
--- a/apps/berylwood/src/lib/runProcess.ts
+++ b/apps/berylwood/src/lib/runProcess.ts
@@ -5,12 +5,12 @@
 import { CommandError } from './CommandError';
 import { ExitCode } from './ExitCode';
 import { createRoles, type Reloadable } from './createRoles';
-import { hangUps } from './hangUps';
+import { sighupHandler } from './sighupHandler';
 import { readSettings } from './readSettings';
 
 const SIGNALS = ['SIGTERM', 'SIGINT'] as const;
 
-function startError(error: unknown): CommandError {
+function toCommandError(error: unknown): CommandError {
   if (error instanceof Failure && error.code.name === 'dataFolderUnusable') {
     return new CommandError(ExitCode.DataFolder, error.message);
   }
@@ -28,7 +28,7 @@
 }
 
 /** Resolves on the first signal to stop; a second one ends the process at once. */
-function nextSignal(): Promise<void> {
+function waitForStopSignal(): Promise<void> {
   return new Promise((resolve) => {
     let count = 0;
     const onSignal = (): void => {
@@ -41,14 +41,14 @@
 }
 
 /** Most bytes of log lines that wait for a slow reader; further lines are dropped. */
-const MAX_WAITING_LOG_BYTES = 4 * 1024 * 1024;
+const MAX_BUFFERED_LOG_BYTES = 4 * 1024 * 1024;
 
 /** Bytes of log lines written together, and the longest time that they wait. */
-const LOG_BLOCK_BYTES = 8 * 1024;
-const LOG_WAIT_MS = 200;
+const LOG_BATCH_BYTES = 8 * 1024;
+const LOG_FLUSH_INTERVAL_MS = 200;
 
 /** Interval at which a changed settings file is looked for, in milliseconds. */
-const SETTINGS_CHECK_MS = 1000;
+const SETTINGS_POLL_MS = 1000;
 
 function createDestination(log: Settings['log'], timer: Timer): pino.DestinationStream | undefined {
   if (log.file) return pino.destination({ dest: log.file, sync: false, mkdir: true });
@@ -56,10 +56,10 @@
   const destination = pino.destination({
     dest: process.stdout.fd,
     sync: false,
-    minLength: LOG_BLOCK_BYTES,
-    maxLength: MAX_WAITING_LOG_BYTES,
+    minLength: LOG_BATCH_BYTES,
+    maxLength: MAX_BUFFERED_LOG_BYTES,
   });
-  timer.every(LOG_WAIT_MS, () => destination.flush());
+  timer.every(LOG_FLUSH_INTERVAL_MS, () => destination.flush());
   return destination;
 }
 
@@ -69,10 +69,10 @@
   reloadable: readonly Reloadable[],
   { timer, journal }: { timer: Timer; journal: Journal },
 ): void {
-  const stamp = (): number => statSync(file, { throwIfNoEntry: false })?.mtimeMs ?? 0;
-  let last = stamp();
+  const readModifiedMs = (): number => statSync(file, { throwIfNoEntry: false })?.mtimeMs ?? 0;
+  let lastModifiedMs = readModifiedMs();
   const reload = (): void => {
-    last = stamp();
+    lastModifiedMs = readModifiedMs();
     try {
       const settings = readSettings(file);
       for (const role of reloadable) role.reload(settings);
@@ -80,9 +80,9 @@
       journal.record(baseEvents.settingsRefused, { file, error: String(error) });
     }
   };
-  hangUps.onSignal = reload;
-  timer.every(SETTINGS_CHECK_MS, () => {
-    if (stamp() !== last) reload();
+  sighupHandler.onSignal = reload;
+  timer.every(SETTINGS_POLL_MS, () => {
+    if (readModifiedMs() !== lastModifiedMs) reload();
   });
 }
 
@@ -102,17 +102,17 @@
   const metrics = new Metrics();
   // The delay of the event loop is sampled by a timer, which costs a small instance too much.
   if (!settings.gateway) metrics.collectProcess();
-  const stopped = nextSignal();
-  const surroundings = { timer, journal, metrics, incarnation };
-  const { tree, reloadable } = await createRoles(settings, surroundings);
+  const stopped = waitForStopSignal();
+  const context = { timer, journal, metrics, incarnation };
+  const { tree, reloadable } = await createRoles(settings, context);
   await tree.start().catch((error: unknown) => {
-    throw startError(error);
+    throw toCommandError(error);
   });
   journal.record(baseEvents.processStarted, { name });
-  if (reloadable.length > 0) watchSettings(file, reloadable, surroundings);
+  if (reloadable.length > 0) watchSettings(file, reloadable, context);
   const failed = tree.run();
   await Promise.race([stopped, failed]).catch((error: unknown) => {
-    throw startError(error);
+    throw toCommandError(error);
   });
   journal.record(baseEvents.processStopping, { name });
   timer.after(shutdownLimitMs, () => process.exit(ExitCode.Fault));
--- a/apps/berylwood/src/lib/hangUps.ts
+++ b/apps/berylwood/src/lib/sighupHandler.ts
@@ -3,9 +3,9 @@
  * others, since the default action of the signal ends the process.
  * @internal
  */
-export const hangUps = {
+export const sighupHandler = {
   /** Called on each signal. */
   onSignal: (): void => {},
 };
 
-process.on('SIGHUP', () => hangUps.onSignal());
+process.on('SIGHUP', () => sighupHandler.onSignal());
--- a/apps/berylwood/src/lib/usageCommand.ts
+++ b/apps/berylwood/src/lib/usageCommand.ts
@@ -1,5 +1,5 @@
 import { Command } from 'commander';
-import { addOperatorOptions, ask, print, type OperatorOptions } from './operatorOptions';
+import { addOperatorOptions, callControl, print, type OperatorOptions } from './operatorOptions';
 
 /** `usage open|windows`. @internal */
 export function usageCommand(): Command {
@@ -7,13 +7,13 @@
   addOperatorOptions(usage.command('open', { isDefault: true }))
     .description('usage of the windows that are open')
     .action(async (options: OperatorOptions) => {
-      const lines = await ask(options, (client) => client.usage.query());
+      const lines = await callControl(options, (client) => client.usage.query());
       print(options, lines, JSON.stringify(lines, undefined, 2));
     });
   addOperatorOptions(usage.command('windows'))
     .description('frozen and reported windows')
     .action(async (options: OperatorOptions) => {
-      const windows = await ask(options, (client) => client.windows.query());
+      const windows = await callControl(options, (client) => client.windows.query());
       const lines = windows.map(({ window, state, startsAt, endsAt }) =>
         [window, state, new Date(startsAt).toISOString(), new Date(endsAt).toISOString()].join(' '),
       );
--- a/apps/berylwood/src/lib/waitInForce.ts
+++ b/apps/berylwood/src/lib/waitInForce.ts
@@ -1,17 +1,18 @@
 import { ExitCode } from './ExitCode';
 import { CommandError } from './CommandError';
-import { ask, type OperatorOptions } from './operatorOptions';
+import { callControl, type OperatorOptions } from './operatorOptions';
 
-const LIMIT_MS = 15_000;
+const TIMEOUT_MS = 15_000;
 
 /** Time between two lines of progress. */
-const STEP_MS = 500;
+const PROGRESS_INTERVAL_MS = 500;
 
-const SHOWN_NODES = 5;
+const MAX_SHOWN_NODES = 5;
 
 function describe(pending: readonly string[]): string {
-  const more = pending.length > SHOWN_NODES ? ` and ${pending.length - SHOWN_NODES} more` : '';
-  return `${pending.slice(0, SHOWN_NODES).join(', ')}${more}`;
+  const more =
+    pending.length > MAX_SHOWN_NODES ? ` and ${pending.length - MAX_SHOWN_NODES} more` : '';
+  return `${pending.slice(0, MAX_SHOWN_NODES).join(', ')}${more}`;
 }
 
 /**
@@ -20,11 +21,11 @@
  * @internal
  */
 export async function waitInForce(options: OperatorOptions, index: number): Promise<void> {
-  const deadline = performance.now() + LIMIT_MS;
+  const deadline = performance.now() + TIMEOUT_MS;
   let pending: readonly string[] = [];
   do {
-    const report = await ask(options, (client) =>
-      client.waitInForce.query({ index, timeoutMs: STEP_MS }),
+    const report = await callControl(options, (client) =>
+      client.waitInForce.query({ index, timeoutMs: PROGRESS_INTERVAL_MS }),
     );
     if (report.inForce) return;
     pending = report.pending;
--- a/apps/berylwood/src/main.ts
+++ b/apps/berylwood/src/main.ts
@@ -1,4 +1,4 @@
-import './lib/hangUps';
+import './lib/sighupHandler';
 import { CommandError } from './lib/CommandError';
 import { createRunProgram } from './lib/createRunProgram';
 import { ExitCode } from './lib/ExitCode';
--- a/packages/base/src/index.ts
+++ b/packages/base/src/index.ts
@@ -12,7 +12,7 @@
 export { SystemTimer } from './lib/SystemTimer';
 export { VirtualTimer } from './lib/VirtualTimer';
 export { Random } from './lib/Random';
-export { Lifecycle, LifecycleTable, type StateNote } from './lib/Lifecycle';
+export { Lifecycle, LifecycleTable, type LifecycleState } from './lib/Lifecycle';
 export { Mailbox } from './lib/Mailbox';
 export { Task } from './lib/Task';
 export {
--- a/packages/base/src/lib/Lifecycle.ts
+++ b/packages/base/src/lib/Lifecycle.ts
@@ -2,7 +2,7 @@
 import { assert } from './assert';
 
 /** What a state of a lifecycle says to people and to callers. @public */
-export interface StateNote<Note> {
+export interface LifecycleState<Note> {
   readonly name: string;
   readonly note: Note;
   /** Next state by event. */
@@ -14,7 +14,7 @@
 export class LifecycleTable<Note> {
   readonly initial: string;
 
-  readonly #states = new Map<string, StateNote<Note>>();
+  readonly #states = new Map<string, LifecycleState<Note>>();
 
   /**
    * @throws InvariantError if the machine has nested states.
@@ -34,11 +34,11 @@
     }
   }
 
-  get states(): StateNote<Note>[] {
+  get states(): LifecycleState<Note>[] {
     return [...this.#states.values()];
   }
 
-  find(name: string): StateNote<Note> {
+  find(name: string): LifecycleState<Note> {
     const found = this.#states.get(name);
     assert(found, `no state ${name}`);
     return found;
@@ -52,7 +52,7 @@
 export class Lifecycle<Event extends string, Note> {
   readonly #table: LifecycleTable<Note>;
 
-  #state: StateNote<Note>;
+  #state: LifecycleState<Note>;
 
   constructor(table: LifecycleTable<Note>) {
     this.#table = table;
--- a/packages/base/src/lib/Supervisor.ts
+++ b/packages/base/src/lib/Supervisor.ts
@@ -85,7 +85,7 @@
 
   readonly #actor: ActorRefFrom<typeof machine>;
 
-  #restarts: number[] = [];
+  #restartTimes: number[] = [];
 
   #finish: () => void = () => {};
 
@@ -193,8 +193,8 @@
   async #recover(failed: Child): Promise<void> {
     const { timer, periodMs, maxRestarts, delayMs } = this.#options;
     const now = timer.now();
-    this.#restarts = [...this.#restarts.filter((at) => at > now - periodMs), now];
-    if (this.#restarts.length > maxRestarts) {
+    this.#restartTimes = [...this.#restartTimes.filter((at) => at > now - periodMs), now];
+    if (this.#restartTimes.length > maxRestarts) {
       throw new Error(`${this.name}: more than ${maxRestarts} restarts within ${periodMs} ms`);
     }
     const affected = this.#affected(failed);
--- a/packages/base/src/lib/VirtualTimer.ts
+++ b/packages/base/src/lib/VirtualTimer.ts
@@ -1,6 +1,6 @@
 import { Timer } from './Timer';
 
-interface Entry {
+interface ScheduledCallback {
   readonly at: number;
   readonly sequence: number;
   readonly callback: () => void;
@@ -12,7 +12,7 @@
 
   #sequence = 0;
 
-  #entries: Entry[] = [];
+  #scheduled: ScheduledCallback[] = [];
 
   readonly #wallOffset: number;
 
@@ -32,10 +32,10 @@
   override after(delayMs: number, callback: () => void): Disposable {
     this.#sequence += 1;
     const entry = { at: this.#now + Math.max(0, delayMs), sequence: this.#sequence, callback };
-    this.#entries.push(entry);
+    this.#scheduled.push(entry);
     return {
       [Symbol.dispose]: () => {
-        this.#entries = this.#entries.filter((item) => item !== entry);
+        this.#scheduled = this.#scheduled.filter((item) => item !== entry);
       },
     };
   }
@@ -50,16 +50,16 @@
     const end = this.#now + durationMs;
     for (let next = this.#next(); next && next.at <= end; next = this.#next()) {
       const due = next;
-      this.#entries = this.#entries.filter((item) => item !== due);
+      this.#scheduled = this.#scheduled.filter((item) => item !== due);
       this.#now = Math.max(this.#now, due.at);
       due.callback();
     }
     this.#now = end;
   }
 
-  #next(): Entry | undefined {
-    let best: Entry | undefined;
-    for (const entry of this.#entries) {
+  #next(): ScheduledCallback | undefined {
+    let best: ScheduledCallback | undefined;
+    for (const entry of this.#scheduled) {
       if (!best || entry.at < best.at || (entry.at === best.at && entry.sequence < best.sequence)) {
         best = entry;
       }
--- a/packages/timeline/src/lib/filterRecords.ts
+++ b/packages/timeline/src/lib/filterRecords.ts
@@ -10,33 +10,33 @@
 }
 
 /** Fields that tie records of the same matter together. */
-const LINKING_FIELDS = ['request', 'attempt', 'change', 'index', 'order', 'window'] as const;
+const CORRELATION_FIELDS = ['request', 'attempt', 'change', 'index', 'order', 'window'] as const;
 
 /** Identities that start a chain; a log index alone is shared by unrelated records. */
-const CHAINED = new Set<string>(['request', 'attempt', 'change', 'order', 'window']);
+const TRANSITIVE_FIELDS = new Set<string>(['request', 'attempt', 'change', 'order', 'window']);
 
-function marksOf(record: JournalRecord): string[] {
-  return LINKING_FIELDS.flatMap((name) => {
+function correlationIdsOf(record: JournalRecord): string[] {
+  return CORRELATION_FIELDS.flatMap((name) => {
     const value = record.fields[name];
     return value === undefined ? [] : [`${name}:${String(value)}`];
   });
 }
 
 /** Records that share an identity with the seeds, directly or over other records. */
-function connected(
+function findConnected(
   records: readonly JournalRecord[],
   seeds: readonly string[],
 ): Set<JournalRecord> {
-  const marks = new Set(seeds);
+  const knownIds = new Set(seeds);
   const found = new Set<JournalRecord>();
   for (let size = -1; size !== found.size;) {
     size = found.size;
     for (const record of records) {
-      const own = marksOf(record);
-      if (found.has(record) || !own.some((mark) => marks.has(mark))) continue;
+      const ids = correlationIdsOf(record);
+      if (found.has(record) || !ids.some((id) => knownIds.has(id))) continue;
       found.add(record);
-      const chains = own.some((mark) => CHAINED.has(mark.split(':')[0] ?? ''));
-      if (chains) own.forEach((mark) => marks.add(mark));
+      const isTransitive = ids.some((id) => TRANSITIVE_FIELDS.has(id.split(':')[0] ?? ''));
+      if (isTransitive) ids.forEach((id) => knownIds.add(id));
     }
   }
   return found;
@@ -46,14 +46,14 @@
 export function filterRecords(records: readonly JournalRecord[], filter: Filter): JournalRecord[] {
   const { request, change, workspace, endpoint, process } = filter;
   const sets: Set<JournalRecord>[] = [];
-  if (request) sets.push(connected(records, [`request:${request}`]));
-  if (change) sets.push(connected(records, [`change:${change}`]));
+  if (request) sets.push(findConnected(records, [`request:${request}`]));
+  if (change) sets.push(findConnected(records, [`change:${change}`]));
   if (workspace) {
-    const own = records.filter(({ fields }) => fields.workspace === workspace);
-    const seeds = own.flatMap((record) =>
-      marksOf(record).filter((mark) => !mark.startsWith('index:')),
+    const workspaceRecords = records.filter(({ fields }) => fields.workspace === workspace);
+    const seeds = workspaceRecords.flatMap((record) =>
+      correlationIdsOf(record).filter((id) => !id.startsWith('index:')),
     );
-    sets.push(new Set([...own, ...connected(records, seeds)]));
+    sets.push(new Set([...workspaceRecords, ...findConnected(records, seeds)]));
   }
   return records.filter(
     (record) =>
--- a/packages/timeline/src/lib/renderHtml.ts
+++ b/packages/timeline/src/lib/renderHtml.ts
@@ -53,23 +53,23 @@
   return `<div class="row" style="height:${HEADER_HEIGHT}px"><time>UTC</time><svg width="${width}" height="${HEADER_HEIGHT}">${labels.join('')}</svg></div>`;
 }
 
-function drawLanes(lanes: readonly string[], own: number): string {
+function drawLanes(lanes: readonly string[], ownLane: number): string {
   const middle = ROW_HEIGHT / 2;
   const lines = lanes.map((_, lane) => {
     const x = lane * LANE_WIDTH + LABEL_OFFSET;
     const line = `<line x1="${x}" x2="${x}" y1="0" y2="${ROW_HEIGHT}" stroke="#d8dee4" stroke-width="2"/>`;
-    if (lane !== own) return line;
+    if (lane !== ownLane) return line;
     return `${line}<circle cx="${x}" cy="${middle}" r="5" fill="${colourOf(lane)}"/>`;
   });
   return `<svg width="${lanes.length * LANE_WIDTH}" height="${ROW_HEIGHT}">${lines.join('')}</svg>`;
 }
 
 function drawRow(record: JournalRecord, lanes: readonly string[]): string {
-  const own = lanes.indexOf(record.process);
+  const ownLane = lanes.indexOf(record.process);
   const fields = escapeHtml(fieldsOf(record));
   const text = escapeHtml(`${record.process} ${record.event} ${record.name} ${fieldsOf(record)}`);
-  const lanesDrawn = drawLanes(lanes, own);
-  return `<div class="row" data-text="${text}"><time>${timeOf(record)}</time>${lanesDrawn}<div class="text"><b style="color:${colourOf(own)}">${record.event} ${escapeHtml(record.name)}</b><span>${fields}</span></div></div>`;
+  const lanesDrawn = drawLanes(lanes, ownLane);
+  return `<div class="row" data-text="${text}"><time>${timeOf(record)}</time>${lanesDrawn}<div class="text"><b style="color:${colourOf(ownLane)}">${record.event} ${escapeHtml(record.name)}</b><span>${fields}</span></div></div>`;
 }
 
 /** Draws a time line as one HTML page: a lane for each process, a row for each record. @public */
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,6 +1,6 @@
 /**
- * Bundles the command line and all roles into one file, FOLDER/berylwood.cjs. With `--warm`, adds
- * the compiled code of a started gateway, and FOLDER/start.cjs that loads both: a restart on half a
+ * Bundles the command line and all roles into one file, DIRECTORY/berylwood.cjs. With `--warm`, adds
+ * the compiled code of a started gateway, and DIRECTORY/start.cjs that loads both: a restart on half a
  * core then spends its time on work, not on compiling.
  */
 import { execFileSync } from 'node:child_process';
@@ -12,7 +12,7 @@
  * Optional native parts of libraries, which work without them and can not be held by a single file,
  * and the push client for metrics, which is not used and slow to load.
  */
-const withoutOptionalParts = {
+const stubOptionalModules = {
   name: 'without-optional-parts',
   setup({ onResolve, onLoad }) {
     const filter = /^(msgpackr-extract|bufferutil|utf-8-validate|\.\/lib\/pushgateway)$/;
@@ -26,10 +26,10 @@
 };
 
 /** Writes the bundle and returns its path. */
-export async function bundle(folder) {
+export async function bundle(directory) {
   const { version } = JSON.parse(readFileSync('package.json', 'utf8'));
-  mkdirSync(folder, { recursive: true });
-  const outfile = join(folder, 'berylwood.cjs');
+  mkdirSync(directory, { recursive: true });
+  const outfile = join(directory, 'berylwood.cjs');
   await build({
     entryPoints: ['apps/berylwood/src/main.ts'],
     bundle: true,
@@ -41,7 +41,7 @@
     legalComments: 'none',
     define: { 'process.env.BERYLWOOD_VERSION': JSON.stringify(version) },
     logLevel: 'warning',
-    plugins: [withoutOptionalParts],
+    plugins: [stubOptionalModules],
   });
   return outfile;
 }
@@ -69,10 +69,10 @@
 const WARM_UP_MS = 1500;
 
 /** Starts the bundle once and keeps what V8 has compiled. */
-function warm(folder, flags) {
-  const settings = join(folder, 'warm.toml');
-  const start = join(folder, 'start.cjs');
-  const cache = join(folder, 'berylwood.cache');
+function warm(directory, flags) {
+  const settings = join(directory, 'warm.toml');
+  const start = join(directory, 'start.cjs');
+  const cache = join(directory, 'berylwood.cache');
   rmSync(cache, { force: true });
   writeFileSync(settings, WARM_SETTINGS);
   writeFileSync(start, readFileSync('deploy/start.cjs'));
@@ -82,9 +82,9 @@
   });
 }
 
-const [, script, folder, ...options] = process.argv;
-if (script?.endsWith('bundle.mjs') && folder) {
-  await bundle(folder);
+const [, script, directory, ...options] = process.argv;
+if (script?.endsWith('bundle.mjs') && directory) {
+  await bundle(directory);
   const [isWarm, ...flags] = options;
-  if (isWarm === '--warm') warm(folder, flags);
+  if (isWarm === '--warm') warm(directory, flags);
 }
--- a/scripts/example.mjs
+++ b/scripts/example.mjs
@@ -12,8 +12,8 @@
 const START_LIMIT_MS = 60_000;
 const STOP_LIMIT_MS = 130_000;
 
-const [, , verb, name = ''] = process.argv;
-const folder = join('examples', name);
+const [, , command, name = ''] = process.argv;
+const directory = join('examples', name);
 const data = join('data', name);
 const pidFile = join(data, 'pids.json');
 const keyFile = join(data, 'keys.json');
@@ -23,18 +23,18 @@
   process.exit(2);
 }
 
-function settingsTexts() {
-  const files = readdirSync(join(folder, 'settings')).sort();
-  return files.map((file) => readFileSync(join(folder, 'settings', file), 'utf8'));
+function readSettingsTexts() {
+  const files = readdirSync(join(directory, 'settings')).sort();
+  return files.map((file) => readFileSync(join(directory, 'settings', file), 'utf8'));
 }
 
 /** Values of a field in the tables of a role, over all settings files. */
 function valuesOf(table, field) {
   const pattern = new RegExp(`^\\[${table}\\][^[]*?^${field} = "([^"]+)"`, 'm');
-  return settingsTexts().flatMap((text) => pattern.exec(text)?.[1] ?? []);
+  return readSettingsTexts().flatMap((text) => pattern.exec(text)?.[1] ?? []);
 }
 
-async function until(what, limitMs, condition) {
+async function waitUntil(what, limitMs, condition) {
   const deadline = Date.now() + limitMs;
   while (!(await condition())) {
     if (Date.now() > deadline) throw new Error(`not within ${limitMs} ms: ${what}`);
@@ -60,17 +60,17 @@
   }
 }
 
-function operate(...args) {
+function runOperatorCommand(...args) {
   const control = valuesOf('control', 'operator').join(',');
   return execFileSync(BINARY, [...args, '--control', control, '--json'], { encoding: 'utf8' });
 }
 
 function giveKeys() {
-  const customers = readFileSync(join(folder, 'customers.toml'), 'utf8');
+  const customers = readFileSync(join(directory, 'customers.toml'), 'utf8');
   const workspaces = [...customers.matchAll(/^\[customers\.(.+)\]$/gm)].map(([, found]) => found);
   const keys = workspaces.map((workspace) => [
     workspace,
-    JSON.parse(operate('keys', 'give', workspace)),
+    JSON.parse(runOperatorCommand('keys', 'give', workspace)),
   ]);
   writeFileSync(keyFile, JSON.stringify(Object.fromEntries(keys), null, 2), { mode: 0o600 });
 }
@@ -79,15 +79,15 @@
   if (existsSync(pidFile)) fail(`${pidFile} exists: stop the example first`);
   if (!existsSync(BINARY)) spawnSync(process.execPath, ['scripts/build.mjs'], { stdio: 'inherit' });
   for (const path of [data, ...valuesOf('control', 'data')]) mkdirSync(path, { recursive: true });
-  const pids = readdirSync(join(folder, 'settings')).map((file) => {
-    const args = ['run', '--settings', join(folder, 'settings', file)];
+  const pids = readdirSync(join(directory, 'settings')).map((file) => {
+    const args = ['run', '--settings', join(directory, 'settings', file)];
     const child = spawn(BINARY, args, { detached: true, stdio: 'ignore' });
     child.unref();
     return child.pid;
   });
   writeFileSync(pidFile, JSON.stringify(pids));
   const entries = valuesOf('entry', 'listen');
-  await until('all entries are ready', START_LIMIT_MS, async () =>
+  await waitUntil('all entries are ready', START_LIMIT_MS, async () =>
     (await Promise.all(entries.map(isReady))).every(Boolean),
   );
   if (!existsSync(keyFile)) giveKeys();
@@ -98,13 +98,13 @@
   if (!existsSync(pidFile)) fail(`${name} does not run`);
   const pids = JSON.parse(readFileSync(pidFile, 'utf8'));
   for (const pid of pids.filter(isRunning)) process.kill(pid, 'SIGTERM');
-  await until('all processes have ended', STOP_LIMIT_MS, () => !pids.some(isRunning));
+  await waitUntil('all processes have ended', STOP_LIMIT_MS, () => !pids.some(isRunning));
   rmSync(pidFile);
   console.log(`${pids.length} processes have ended`);
 }
 
-if (!existsSync(join(folder, 'settings')))
+if (!existsSync(join(directory, 'settings')))
   fail('usage: example.mjs start|stop chimney-lane|o-fearghail');
-if (verb === 'start') await start();
-else if (verb === 'stop') await stop();
+if (command === 'start') await start();
+else if (command === 'stop') await stop();
 else fail('usage: example.mjs start|stop NAME');
--- a/scripts/machines.ts
+++ b/scripts/machines.ts
@@ -25,9 +25,9 @@
 for (const [name, text] of Object.entries(sections)) {
   const [start, end] = [`<!-- ${name} machine -->`, `<!-- end of ${name} machine -->`];
   const at = page.indexOf(start);
-  const until = page.indexOf(end);
-  if (at < 0 || until < at) throw new Error(`${PAGE} lacks the markers of ${name}`);
-  page = `${page.slice(0, at + start.length)}\n\n${text}\n\n${page.slice(until)}`;
+  const endAt = page.indexOf(end);
+  if (at < 0 || endAt < at) throw new Error(`${PAGE} lacks the markers of ${name}`);
+  page = `${page.slice(0, at + start.length)}\n\n${text}\n\n${page.slice(endAt)}`;
 }
 if (!process.argv.includes('--check')) writeFileSync(PAGE, page);
 else if (page !== before) {
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -16,24 +16,24 @@
 /** Report from which the names of failed tests are read. */
 const REPORT = 'build/tests.tap';
 
-function findTests(folder) {
-  if (!existsSync(folder)) return [];
-  return readdirSync(folder, { withFileTypes: true }).flatMap((entry) => {
+function findTests(directory) {
+  if (!existsSync(directory)) return [];
+  return readdirSync(directory, { withFileTypes: true }).flatMap((entry) => {
     if (entry.name === 'node_modules') return [];
-    const path = join(folder, entry.name);
+    const path = join(directory, entry.name);
     if (entry.isDirectory()) return findTests(path);
     return entry.name.endsWith('.test.ts') ? [path] : [];
   });
 }
 
-function knownRed() {
+function readKnownRed() {
   if (!existsSync('KNOWN-RED.txt')) return [];
   const lines = readFileSync('KNOWN-RED.txt', 'utf8').split('\n');
   return lines.filter((line) => line.startsWith('test: ')).map((line) => line.slice(6).trim());
 }
 
 /** Names of the failed tests in a TAP report, innermost only. */
-function failedTests(report) {
+function parseFailedTests(report) {
   const names = [...report.matchAll(/^\s*not ok \d+ - (.*?)(?: # .*)?$/gm)].map(([, name]) => name);
   return [...new Set(names)].filter((name) => !name.endsWith('.test.ts'));
 }
@@ -51,8 +51,8 @@
   const args = ['--import', 'tsx', '--test', ...options, ...files];
   const { status } = spawnSync(process.execPath, args, { stdio: 'inherit' });
   if (status === 0) return true;
-  const red = new Set(knownRed());
-  const failed = failedTests(readFileSync(REPORT, 'utf8'));
+  const red = new Set(readKnownRed());
+  const failed = parseFailedTests(readFileSync(REPORT, 'utf8'));
   const unknown = failed.filter((name) => !red.has(name));
   for (const name of failed.filter((item) => red.has(item))) console.log(`KNOWN RED: ${name}`);
   for (const name of unknown) console.log(`FAILED: ${name}`);
