--- a/packages/base/src/index.ts
+++ b/packages/base/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Foundations of every other package: ids, result codes, disposables, time, tasks, supervision,
- * log events and metrics.
+ * Common building blocks of all packages: ids, result codes, disposables, timers, tasks,
+ * supervision, log events and metrics.
  */
 export { InvariantError, assert, required, unreachable } from './lib/assert';
 export { asId, createId, type Id } from './lib/id';
--- a/packages/base/src/lib/DisposableStore.test.ts
+++ b/packages/base/src/lib/DisposableStore.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import { DisposableStore } from './DisposableStore';
 
-test('disposes in reverse order, all of them, and reports the first error', () => {
+test('disposes all items in reverse order and throws the first error', () => {
   const seen: number[] = [];
   const store = new DisposableStore();
   store.defer(() => seen.push(1));
@@ -14,7 +14,7 @@
   assert.deepEqual(seen, [3, 1]);
 });
 
-test('disposes at once what is added after its end', () => {
+test('disposes an item immediately when it is added after disposal', () => {
   const store = new DisposableStore();
   store[Symbol.dispose]();
   let released = false;
--- a/packages/base/src/lib/DisposableStore.ts
+++ b/packages/base/src/lib/DisposableStore.ts
@@ -1,6 +1,6 @@
 /**
- * Owns disposables and disposes them in the reverse order of their addition. One that throws does
- * not keep the others from being disposed; the first error is thrown at the end.
+ * Owns disposables and disposes them in reverse order of addition. If one throws, the remaining items
+ * are still disposed and the first error is rethrown at the end.
  * @public
  */
 export class DisposableStore implements Disposable {
@@ -16,24 +16,24 @@
     return this.#items.size;
   }
 
-  /** Adds an item; a store that is already disposed disposes it at once. */
+  /** Adds an item. If the store is already disposed, disposes the item immediately. */
   add<T extends Disposable>(item: T): T {
     if (this.#disposed) item[Symbol.dispose]();
     else this.#items.add(item);
     return item;
   }
 
-  /** Adds a function that is called once on disposal. */
+  /** Adds a callback that runs once on disposal. */
   defer(release: () => void): Disposable {
     return this.add({ [Symbol.dispose]: release });
   }
 
-  /** Disposes one item now. */
+  /** Removes one item and disposes it. */
   release(item: Disposable): void {
     if (this.#items.delete(item)) item[Symbol.dispose]();
   }
 
-  /** Disposes what the store holds and keeps it usable. */
+  /** Disposes all items; the store remains usable. */
   clear(): void {
     const items = [...this.#items].reverse();
     this.#items.clear();
--- a/packages/base/src/lib/Failure.ts
+++ b/packages/base/src/lib/Failure.ts
@@ -1,15 +1,16 @@
 import { err, type Result } from 'neverthrow';
 import type { Code, NotRun } from './Code';
 
-/** Optional facts of a failure beside its code. @public */
+/** Optional details of a failure in addition to its code. @public */
 export interface FailureDetails {
+  /** Overrides the default of the code. */
   readonly notRun?: NotRun;
   /** Time after which a retry may succeed, in milliseconds. */
   readonly retryAfterMs?: number;
   readonly cause?: unknown;
 }
 
-/** An expected failure with a numbered code; carried in a `Result`, not thrown. @public */
+/** An expected failure with a numbered code, returned in a `Result` and not thrown. @public */
 export class Failure extends Error {
   override name = 'Failure';
 
@@ -27,7 +28,7 @@
   }
 }
 
-/** Shorthand for an `err` of a new failure. @public */
+/** Returns an `err` result with a new failure. @public */
 export function fail<T = never>(
   code: Code,
   message: string,
--- a/packages/base/src/lib/HybridClock.ts
+++ b/packages/base/src/lib/HybridClock.ts
@@ -1,14 +1,14 @@
 import type { Timer } from './Timer';
 
-/** A hybrid logical clock stamp: wall milliseconds and a counter within them. @public */
+/** A hybrid logical timestamp: wall time in milliseconds and a counter that breaks ties. @public */
 export interface Stamp {
   readonly wallMs: number;
   readonly counter: number;
 }
 
 /**
- * Hybrid logical clock after Kulkarni et al., "Logical Physical Clocks" (2014): stamps follow
- * causality across processes and stay close to wall time.
+ * Hybrid logical clock after Kulkarni et al., "Logical Physical Clocks" (2014). The order of stamps
+ * respects causality across processes, and stamps stay close to wall time.
  * @public
  */
 export class HybridClock {
@@ -20,12 +20,12 @@
     this.#timer = timer;
   }
 
-  /** Stamp of a local or send event. */
+  /** Returns the stamp of a local or send event. */
   tick(): Stamp {
     return this.#advance(this.#last);
   }
 
-  /** Takes in the stamp of a received message, so that later local stamps are greater. */
+  /** Advances the clock past the stamp of a received message and returns the new stamp. */
   observe(stamp: Stamp): Stamp {
     return this.#advance(compareStamps(stamp, this.#last) > 0 ? stamp : this.#last);
   }
@@ -40,7 +40,7 @@
   }
 }
 
-/** Orders two stamps: negative when the first is earlier. @public */
+/** Compares two stamps: negative if the first is earlier. @public */
 export function compareStamps(a: Stamp, b: Stamp): number {
   return a.wallMs - b.wallMs || a.counter - b.counter;
 }
--- a/packages/base/src/lib/Journal.ts
+++ b/packages/base/src/lib/Journal.ts
@@ -3,7 +3,7 @@
 import type { Level, LogEvent } from './LogEvent';
 import type { Timer } from './Timer';
 
-/** One recorded event, as written to the log and shown on the time line. @public */
+/** One recorded event, as written to the log and shown on the timeline. @public */
 export interface JournalRecord {
   readonly event: number;
   readonly name: string;
@@ -15,21 +15,21 @@
 
 /** Options of a journal. @public */
 export interface JournalOptions {
-  /** Name of the process on the time line. */
+  /** Name of the process on the timeline. */
   readonly process: string;
   readonly incarnation: string;
   readonly timer: Timer;
   readonly level?: Level | 'silent';
-  /** Where log lines go; standard error by default. */
+  /** Destination of log lines; standard error by default. */
   readonly destination?: DestinationStream;
-  /** Records kept in memory for the time line. */
+  /** Number of records kept in memory for the timeline. */
   readonly capacity?: number;
 }
 
 const DEFAULT_CAPACITY = 2000;
 const STANDARD_ERROR = 2;
 
-/** Writes numbered events to the log and keeps the latest for the time line. @public */
+/** Writes numbered events to the log and keeps the latest in memory for the timeline. @public */
 export class Journal {
   readonly clock: HybridClock;
 
@@ -48,7 +48,7 @@
     );
   }
 
-  /** Records one event; fields must hold nothing secret. */
+  /** Records one event. The fields must not contain secrets. */
   record(event: LogEvent, fields: Record<string, unknown> = {}): void {
     const { process, incarnation, capacity = DEFAULT_CAPACITY } = this.#options;
     const stamp = this.clock.tick();
@@ -58,13 +58,13 @@
     this.#logger[event.level]({ ...record }, event.name);
   }
 
-  /** The latest records, oldest first. */
+  /** Returns the latest records, oldest first. */
   recent(): readonly JournalRecord[] {
     return this.#records.slice(-(this.#options.capacity ?? DEFAULT_CAPACITY));
   }
 }
 
-/** A journal that keeps records in memory and writes no log; for tests. @public */
+/** Creates a journal for tests that keeps records in memory and writes no log. @public */
 export function createSilentJournal(timer: Timer, process = 'test'): Journal {
   return new Journal({ process, incarnation: 'test-1', timer, level: 'silent' });
 }
--- a/packages/base/src/lib/Lifecycle.test.ts
+++ b/packages/base/src/lib/Lifecycle.test.ts
@@ -14,7 +14,7 @@
   });
 }
 
-test('follows the machine and refuses events that the state does not take', () => {
+test('follows the machine and rejects events that the current state does not accept', () => {
   const lifecycle = new Lifecycle<string, string>(new LifecycleTable(createDoor()));
   assert.equal(lifecycle.send('lock'), false);
   assert.equal(lifecycle.state, 'open');
@@ -25,7 +25,7 @@
   assert.equal(lifecycle.send('open'), false);
 });
 
-test('refuses a machine with nested states', () => {
+test('rejects a machine with nested states', () => {
   const nested = createMachine({
     initial: 'a',
     states: { a: { initial: 'b', states: { b: {} } } },
--- a/packages/base/src/lib/Lifecycle.ts
+++ b/packages/base/src/lib/Lifecycle.ts
@@ -1,16 +1,21 @@
 import { getNextSnapshot, type AnyStateMachine } from 'xstate';
 import { assert } from './assert';
 
-/** What a state of a lifecycle says to people and to callers. @public */
+/** One state of a lifecycle with its transitions and metadata. @public */
 export interface LifecycleState<Note> {
   readonly name: string;
+  /** The `meta` of the xstate state. */
   readonly note: Note;
   /** Next state by event. */
   readonly next: ReadonlyMap<string, string>;
   readonly isFinal: boolean;
 }
 
-/** The transitions of a flat xstate machine as a table, for many short-lived instances. @public */
+/**
+ * Transition table of an xstate machine without nested states, shared by many short-lived
+ * lifecycles.
+ * @public
+ */
 export class LifecycleTable<Note> {
   readonly initial: string;
 
@@ -40,13 +45,13 @@
 
   find(name: string): LifecycleState<Note> {
     const found = this.#states.get(name);
-    assert(found, `no state ${name}`);
+    assert(found, `unknown state ${name}`);
     return found;
   }
 }
 
 /**
- * One instance of a lifecycle: it holds no more than its state, so that thousands are cheap.
+ * One run of a lifecycle. It stores only its current state, so that thousands of them are cheap.
  * @public
  */
 export class Lifecycle<Event extends string, Note> {
@@ -75,7 +80,7 @@
     return this.#state.next.has(event);
   }
 
-  /** Moves to the next state; false, without a change, when the state does not take the event. */
+  /** Moves to the next state. Returns false if the current state does not accept the event. */
   send(event: Event): boolean {
     const next = this.#state.next.get(event);
     if (next === undefined) return false;
--- a/packages/base/src/lib/LogEvent.ts
+++ b/packages/base/src/lib/LogEvent.ts
@@ -1,9 +1,9 @@
 import { InvariantError } from './assert';
 
-/** Severity of a log event, in pino's names. @public */
+/** Severity of a log event, named as in pino. @public */
 export type Level = 'debug' | 'info' | 'warn' | 'error';
 
-/** One numbered kind of log event, as listed in docs/events.md. @public */
+/** One numbered type of log event, as listed in docs/events.md. @public */
 export interface LogEvent {
   readonly number: number;
   readonly name: string;
@@ -16,8 +16,8 @@
 const events = new Map<number, LogEvent>();
 
 /**
- * Registers a table of log events and returns it with its literal names.
- * @throws InvariantError if a number is taken already.
+ * Registers a table of log events and returns it keyed by its literal names.
+ * @throws InvariantError if a number is already registered.
  * @public
  */
 export function defineEvents<Name extends string>(
@@ -26,14 +26,15 @@
   const result = {} as Record<Name, LogEvent>;
   for (const name of Object.keys(table) as Name[]) {
     const event = { name, ...table[name] };
-    if (events.has(event.number)) throw new InvariantError(`event ${event.number} is taken`);
+    if (events.has(event.number))
+      throw new InvariantError(`event ${event.number} is already registered`);
     events.set(event.number, event);
     result[name] = event;
   }
   return result;
 }
 
-/** All registered events in numerical order. @public */
+/** Returns all registered events in numerical order. @public */
 export function listEvents(): LogEvent[] {
   return [...events.values()].sort((a, b) => a.number - b.number);
 }
--- a/packages/base/src/lib/Mailbox.ts
+++ b/packages/base/src/lib/Mailbox.ts
@@ -20,7 +20,7 @@
     return this.#closed;
   }
 
-  /** Returns false, and leaves the message out, when the mailbox is full or closed. */
+  /** Appends a message. Returns false and drops the message if the mailbox is full or closed. */
   post(message: Message): boolean {
     if (this.#closed || this.#messages.length >= this.#capacity) return false;
     this.#messages.push(message);
@@ -28,7 +28,7 @@
     return true;
   }
 
-  /** Ends the consumer's loop after the messages that are already here. */
+  /** Rejects further messages and ends the consumer's loop once the queue is empty. */
   close(): void {
     this.#closed = true;
     this.#wake?.();
--- a/packages/base/src/lib/Metrics.ts
+++ b/packages/base/src/lib/Metrics.ts
@@ -3,11 +3,11 @@
 /** Default buckets of latency histograms, in seconds. */
 const LATENCY_BUCKETS_S = [0.001, 0.005, 0.02, 0.058, 0.2, 0.5, 1.4, 3, 10, 30];
 
-/** Metrics of one process, each created on first use; names carry the prefix `berylwood_`. @public */
+/** Metrics of one process, each created on first use under the prefix `berylwood_`. @public */
 export class Metrics {
   readonly registry = new Registry();
 
-  /** Adds the metrics of the Node.js process: memory, processor time and event-loop delay. */
+  /** Collects the metrics of the Node.js process: memory, CPU time and event-loop delay. */
   collectProcess(): void {
     collectDefaultMetrics({ register: this.registry });
   }
@@ -36,7 +36,7 @@
     return new Histogram({ name: `berylwood_${name}`, help, labelNames, buckets, registers });
   }
 
-  /** Text in the Prometheus exposition format. */
+  /** Returns all metrics in the Prometheus text format. */
   expose(): Promise<string> {
     return this.registry.metrics();
   }
--- a/packages/base/src/lib/Random.ts
+++ b/packages/base/src/lib/Random.ts
@@ -1,6 +1,6 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Seeded source of random numbers: the same seed gives the same sequence. @public */
+/** Seeded random number generator: the same seed gives the same sequence. @public */
 export class Random {
   readonly #generator;
 
@@ -30,12 +30,12 @@
     return -mean * Math.log(1 - this.next());
   }
 
-  /** Standard normal, by the method of Box and Muller. */
+  /** Standard normal, by the Box-Muller transform. */
   normal(): number {
     return Math.sqrt(-2 * Math.log(1 - this.next())) * Math.cos(2 * Math.PI * this.next());
   }
 
-  /** One item of a list that is not empty. */
+  /** Uniformly chosen item of a non-empty list. */
   pick<T>(items: readonly T[]): T {
     return items[this.below(items.length)] as T;
   }
--- a/packages/base/src/lib/Supervisor.test.ts
+++ b/packages/base/src/lib/Supervisor.test.ts
@@ -54,7 +54,7 @@
 ];
 
 for (const [strategy, expected] of restarts) {
-  test(`${strategy} restarts the children that it names`, async () => {
+  test(`${strategy} restarts the expected children in order`, async () => {
     const { tree, trace, crash } = createTree(strategy);
     await tree.start();
     trace.length = 0;
@@ -74,7 +74,7 @@
   await tree.run();
 });
 
-test('fails when the restart intensity is exceeded', async () => {
+test('fails when the restart limit is exceeded', async () => {
   const { tree, crash } = createTree('one-for-one', 0);
   await tree.start();
   crash('a');
--- a/packages/base/src/lib/Supervisor.ts
+++ b/packages/base/src/lib/Supervisor.ts
@@ -11,16 +11,16 @@
 export interface SupervisorOptions {
   readonly name: string;
   readonly strategy?: Strategy;
-  /** Restarts allowed within the period before the supervisor itself fails. */
+  /** Restarts allowed within `periodMs` before the supervisor itself fails. */
   readonly maxRestarts?: number;
   readonly periodMs?: number;
-  /** Wait before a restart. */
+  /** Delay before a restart. */
   readonly delayMs?: number;
   readonly timer: Timer;
   readonly journal: Journal;
 }
 
-/** Creates a fresh task for a start or restart. @public */
+/** Creates a new task or supervisor for each start or restart. @public */
 export type ChildFactory = () => Task | Task<unknown> | Supervisor;
 
 interface Child {
@@ -72,8 +72,8 @@
 });
 
 /**
- * Starts children in order, restarts them after failures within an intensity limit, and stops them
- * in reverse order. A supervisor can be the child of another.
+ * Starts children in order, restarts them after failures up to `maxRestarts` within `periodMs`, and
+ * stops them in reverse order. A supervisor can be the child of another.
  * @public
  */
 export class Supervisor {
@@ -106,14 +106,14 @@
       this.#finish = resolve;
       this.#abort = reject;
     });
-    // Without an observer a failure before `run` would count as an unhandled rejection.
+    // Prevents an unhandled rejection if the supervisor fails before `run` is called.
     this.#done.catch(() => {});
     this.#actor = createActor(
       machine.provide({ actors: { startChildren: fromPromise(() => this.#startAll()) } }),
     );
   }
 
-  /** Name of the current state of the supervisor's machine. */
+  /** Current state of the supervisor's state machine. */
   get state(): string {
     return this.#actor.getSnapshot().value;
   }
@@ -124,7 +124,7 @@
     return this;
   }
 
-  /** Starts the children in order; rejects with the first error of a start. */
+  /** Starts the children in order. Rejects with the error of the first child that fails to start. */
   async start(): Promise<void> {
     await new Promise<void>((resolve, reject) => {
       this.#actor.subscribe((snapshot) => {
@@ -135,7 +135,7 @@
     });
   }
 
-  /** Resolves once stopped; rejects when the intensity limit is exceeded. */
+  /** Resolves once stopped. Rejects if the restart limit is exceeded or a restart fails. */
   run(): Promise<void> {
     return this.#done;
   }
--- a/packages/base/src/lib/SystemTimer.ts
+++ b/packages/base/src/lib/SystemTimer.ts
@@ -1,6 +1,6 @@
 import { Timer } from './Timer';
 
-/** The clocks of the machine. @public */
+/** Timer based on the system clocks. @public */
 export class SystemTimer extends Timer {
   override now(): number {
     return performance.now();
--- a/packages/base/src/lib/Timer.ts
+++ b/packages/base/src/lib/Timer.ts
@@ -1,6 +1,6 @@
 /**
- * Time service of a process. Durations are measured on the monotonic clock only; wall time serves
- * window borders and people. All values are milliseconds.
+ * Clocks and timers of a process. Durations are measured on the monotonic clock only. Wall time is
+ * used for window boundaries and for display. All values are in milliseconds.
  * @public
  */
 export abstract class Timer {
@@ -10,10 +10,10 @@
   /** Time since the Unix epoch; may jump. */
   abstract wall(): number;
 
-  /** Calls back once after the delay, unless disposed before. */
+  /** Runs the callback once after the delay, unless disposed before. */
   abstract after(delayMs: number, callback: () => void): Disposable;
 
-  /** Calls back at each interval until disposed. */
+  /** Runs the callback at each interval until disposed. */
   every(intervalMs: number, callback: () => void): Disposable {
     let current: Disposable;
     const arm = (): void => {
--- a/packages/base/src/lib/VirtualTimer.test.ts
+++ b/packages/base/src/lib/VirtualTimer.test.ts
@@ -2,7 +2,7 @@
 import test from 'node:test';
 import { VirtualTimer } from './VirtualTimer';
 
-test('calls back in order of time, then of arming', () => {
+test('runs callbacks in order of due time, then of registration', () => {
   const timer = new VirtualTimer();
   const seen: string[] = [];
   timer.after(20, () => seen.push(`late ${timer.now()}`));
--- a/packages/base/src/lib/VirtualTimer.ts
+++ b/packages/base/src/lib/VirtualTimer.ts
@@ -6,7 +6,10 @@
   readonly callback: () => void;
 }
 
-/** A clock for tests that moves only when told, and calls back in order of time. @public */
+/**
+ * Timer for tests. Its time changes only through `advance`, which runs callbacks in order of due time.
+ * @public
+ */
 export class VirtualTimer extends Timer {
   #now = 0;
 
@@ -40,12 +43,12 @@
     };
   }
 
-  /** Time of the next callback, or undefined when none is armed. */
+  /** Due time of the next callback, or undefined if none is scheduled. */
   get nextAt(): number | undefined {
     return this.#next()?.at;
   }
 
-  /** Moves time forward and runs each callback that falls due on the way. */
+  /** Moves time forward and runs each callback that becomes due. */
   advance(durationMs: number): void {
     const end = this.#now + durationMs;
     for (let next = this.#next(); next && next.at <= end; next = this.#next()) {
--- a/packages/base/src/lib/assert.ts
+++ b/packages/base/src/lib/assert.ts
@@ -1,4 +1,4 @@
-/** Error of a broken invariant: a fault of the program, never of its input. @public */
+/** Thrown on a violated invariant, which is a bug in the program and never invalid input. @public */
 export class InvariantError extends Error {
   override name = 'InvariantError';
 }
@@ -22,7 +22,7 @@
   return value;
 }
 
-/** Closes an exhaustive switch: the compiler refuses a case that was left out. @public */
+/** Ends an exhaustive switch, so that a missing case is a compile error. @public */
 export function unreachable(value: never): never {
   throw new InvariantError(`unexpected case: ${JSON.stringify(value)}`);
 }
--- a/packages/base/src/lib/events.ts
+++ b/packages/base/src/lib/events.ts
@@ -11,32 +11,31 @@
   processStopping: {
     number: 1001,
     level: 'info',
-    meaning: 'A graceful shutdown has begun.',
+    meaning: 'A graceful shutdown has started.',
     action: 'none',
   },
   processStopped: {
     number: 1002,
     level: 'info',
-    meaning: 'The process has ended its roles.',
+    meaning: 'The process has stopped its roles.',
     action: 'none',
   },
   childFailed: {
     number: 1003,
     level: 'error',
     meaning: 'A supervised task failed and is restarted.',
-    action: 'Look for the cause in the error field; a repeated failure ends the process.',
+    action: 'Check the error field for the cause; repeated failures stop the process.',
   },
   loopDelayed: {
     number: 1004,
     level: 'warn',
-    meaning: 'The event loop was held up for longer than its limit.',
-    action: 'Look for a burst, a large snapshot or a busy machine at that time.',
+    meaning: 'The event loop was blocked for longer than its limit.',
+    action: 'Check for a burst of requests, a large snapshot or a busy machine at that time.',
   },
   settingsRefused: {
     number: 1005,
     level: 'error',
-    meaning:
-      'A settings file that has changed could not be read; the settings before stay in force.',
-    action: 'Correct the file; the error names the line.',
+    meaning: 'A changed settings file could not be read; the previous settings stay in force.',
+    action: 'Correct the file; the error field names the line.',
   },
 });
--- a/packages/base/src/lib/id.ts
+++ b/packages/base/src/lib/id.ts
@@ -2,7 +2,7 @@
 
 declare const brand: unique symbol;
 
-/** A string that only a creator or a validator of its kind may produce. @public */
+/** A branded string, produced only by the functions that create or validate ids of its kind. @public */
 export type Id<Kind extends string> = string & { readonly [brand]: Kind };
 
 /** Random bytes in a generated id: 96 bits make a collision negligible. */
--- a/packages/timeline/src/lib/filterRecords.test.ts
+++ b/packages/timeline/src/lib/filterRecords.test.ts
@@ -34,12 +34,12 @@
 
 const namesOf = (list: readonly JournalRecord[]): string[] => list.map(({ name }) => name);
 
-test('merges logs in causal order and each record once', () => {
+test('merges logs in causal order and removes duplicates', () => {
   const [a, b, c] = records as [JournalRecord, JournalRecord, JournalRecord];
   assert.deepEqual(namesOf(mergeRecords([[c], [b, a], [a]])), ['arrived', 'dispatched', 'ended']);
 });
 
-test('a request brings the records of its attempts', () => {
+test('filtering by request includes the records of its attempts', () => {
   assert.deepEqual(namesOf(filterRecords(records, { request: 'r1' })), [
     'arrived',
     'dispatched',
@@ -47,15 +47,15 @@
   ]);
 });
 
-test('a workspace brings its requests only', () => {
+test('filtering by workspace includes only the records of its requests', () => {
   assert.equal(filterRecords(records, { workspace: 'w1' }).length, 3);
 });
 
-test('a change brings what happened at its log index', () => {
+test('filtering by change includes the records at its log index', () => {
   assert.deepEqual(namesOf(filterRecords(records, { change: 'c1' })), ['accepted', 'inForce']);
 });
 
-test('reads a log with foreign and cut lines', () => {
+test('skips unrelated and truncated lines of a log', () => {
   const text = `${JSON.stringify({ ...records[0], level: 30 })}\nnoise\n{"event":1,"na`;
   assert.equal(
     renderText(parseRecords(text)),
--- a/packages/timeline/src/lib/filterRecords.ts
+++ b/packages/timeline/src/lib/filterRecords.ts
@@ -1,6 +1,6 @@
 import type { JournalRecord } from '@berylwood/base';
 
-/** What a time line is narrowed to; all given parts must match. @public */
+/** Criteria for records of a timeline; a record must match all that are set. @public */
 export interface Filter {
   readonly request?: string;
   readonly workspace?: string;
@@ -9,10 +9,13 @@
   readonly process?: string;
 }
 
-/** Fields that tie records of the same matter together. */
+/** Fields whose equal values relate records to each other. */
 const CORRELATION_FIELDS = ['request', 'attempt', 'change', 'index', 'order', 'window'] as const;
 
-/** Identities that start a chain; a log index alone is shared by unrelated records. */
+/**
+ * Fields through which records are followed transitively. A record with only a log index is matched,
+ * but not followed further, since unrelated records can share an index.
+ */
 const TRANSITIVE_FIELDS = new Set<string>(['request', 'attempt', 'change', 'order', 'window']);
 
 function correlationIdsOf(record: JournalRecord): string[] {
@@ -22,7 +25,7 @@
   });
 }
 
-/** Records that share an identity with the seeds, directly or over other records. */
+/** Finds the records that share a correlation id with the seeds, directly or through other records. */
 function findConnected(
   records: readonly JournalRecord[],
   seeds: readonly string[],
@@ -42,7 +45,11 @@
   return found;
 }
 
-/** Narrows a time line; requests and changes bring the records of their attempts and indices. @public */
+/**
+ * Filters a timeline. The filters by request, change and workspace include related records, such as
+ * those of a request's attempts or at a change's log index.
+ * @public
+ */
 export function filterRecords(records: readonly JournalRecord[], filter: Filter): JournalRecord[] {
   const { request, change, workspace, endpoint, process } = filter;
   const sets: Set<JournalRecord>[] = [];
--- a/packages/timeline/src/lib/mergeRecords.ts
+++ b/packages/timeline/src/lib/mergeRecords.ts
@@ -4,7 +4,7 @@
   return compareStamps(a.stamp, b.stamp) || a.process.localeCompare(b.process);
 }
 
-/** Merges the records of several processes in causal order, each record once. @public */
+/** Merges the records of several processes in causal order and removes duplicates. @public */
 export function mergeRecords(logs: readonly (readonly JournalRecord[])[]): JournalRecord[] {
   const unique = new Map<string, JournalRecord>();
   for (const record of logs.flat()) {
--- a/packages/timeline/src/lib/parseRecords.ts
+++ b/packages/timeline/src/lib/parseRecords.ts
@@ -19,8 +19,9 @@
 }
 
 /**
- * Reads the records of a log, one JSON object a line, or of a JSON array. Lines that are no record
- * are passed over: other output may be mixed into a log, and its last line may be cut.
+ * Parses journal records from a log with one JSON object per line, or from a JSON array. Skips lines
+ * that are not records, since a log can contain other output and end with a truncated line.
+ * @throws SyntaxError if a text that starts with `[` is not valid JSON.
  * @public
  */
 export function parseRecords(text: string): JournalRecord[] {
--- a/packages/timeline/src/lib/renderHtml.ts
+++ b/packages/timeline/src/lib/renderHtml.ts
@@ -6,7 +6,7 @@
 const HEADER_HEIGHT = 34;
 const LABEL_OFFSET = 12;
 
-/** Hues of the lanes, chosen to differ also for readers who confuse red and green. */
+/** Colours of the lanes, distinguishable with red-green colour blindness. */
 const COLOURS = ['#0072b2', '#d55e00', '#009e73', '#cc79a7', '#56b4e9', '#b8860b', '#444444'];
 
 const STYLE = `
@@ -72,7 +72,7 @@
   return `<div class="row" data-text="${text}"><time>${timeOf(record)}</time>${lanesDrawn}<div class="text"><b style="color:${colourOf(ownLane)}">${record.event} ${escapeHtml(record.name)}</b><span>${fields}</span></div></div>`;
 }
 
-/** Draws a time line as one HTML page: a lane for each process, a row for each record. @public */
+/** Renders a timeline as an HTML page with a lane per process and a row per record. @public */
 export function renderHtml(records: readonly JournalRecord[], title: string): string {
   const lanes = [...new Set(records.map(({ process }) => process))].sort();
   const rows = records.map((record) => drawRow(record, lanes));
--- a/packages/timeline/src/lib/renderText.ts
+++ b/packages/timeline/src/lib/renderText.ts
@@ -1,11 +1,11 @@
 import type { JournalRecord } from '@berylwood/base';
 
-/** Time of day of a stamp, to the millisecond, in UTC. @internal */
+/** Formats the UTC time of day of a record, to the millisecond. @internal */
 export function timeOf(record: JournalRecord): string {
   return new Date(record.stamp.wallMs).toISOString().slice(11, 23);
 }
 
-/** Fields of a record as `name=value`. @internal */
+/** Formats the fields of a record as `name=value` pairs. @internal */
 export function fieldsOf(record: JournalRecord): string {
   return Object.entries(record.fields)
     .filter(([, value]) => value !== undefined && value !== null)
@@ -13,7 +13,7 @@
     .join(' ');
 }
 
-/** Draws a time line as text, one record a line. @public */
+/** Renders a timeline as text with one record per line. @public */
 export function renderText(records: readonly JournalRecord[]): string {
   const width = Math.max(0, ...records.map(({ process }) => process.length));
   return records
