--- a/apps/berylwood/src/lib/AdminServer.ts
+++ b/apps/berylwood/src/lib/AdminServer.ts
@@ -2,7 +2,7 @@
 import { Task, type Journal, type Metrics } from '@berylwood/base';
 import { closeNow, listenOn } from '@berylwood/link';
 
-/** Serves health, metrics and the latest events of a process. @internal */
+/** HTTP server for the health check, metrics and latest events of a process. @internal */
 export class AdminServer extends Task {
   readonly name = 'admin';
 
@@ -36,7 +36,7 @@
   }
 
   protected override handle(): void {
-    // Requests come over HTTP.
+    // The server receives HTTP requests and no messages.
   }
 }
 
--- a/apps/berylwood/src/lib/CommandError.ts
+++ b/apps/berylwood/src/lib/CommandError.ts
@@ -1,6 +1,6 @@
 import type { ExitCode } from './ExitCode';
 
-/** Ends a command with an exit code and lines for standard error. @internal */
+/** Ends a command with an exit code; the message is printed on standard error. @internal */
 export class CommandError extends Error {
   readonly exitCode: ExitCode;
 
--- a/apps/berylwood/src/lib/backupCommands.ts
+++ b/apps/berylwood/src/lib/backupCommands.ts
@@ -2,10 +2,10 @@
 import { Command } from 'commander';
 import { addOperatorOptions, callControl, print, type OperatorOptions } from './operatorOptions';
 
-/** A backup holds the hashes of keys and stored answers. */
+/** Only the owner may read a backup, which contains key hashes and stored responses. */
 const BACKUP_MODE = 0o600;
 
-/** `backup` and `restore`. @internal */
+/** Creates the commands `backup` and `restore`. @internal */
 export function backupCommands(): Command[] {
   const backup = addOperatorOptions(new Command('backup').argument('<file>'))
     .description('write the state of the control group to a new file')
--- a/apps/berylwood/src/lib/callOperatorService.ts
+++ b/apps/berylwood/src/lib/callOperatorService.ts
@@ -4,8 +4,8 @@
 import { createOperatorClient, type OperatorClient } from './createOperatorClient';
 
 /**
- * Codes of answers after which another replica, or a later time, may do: no leader, a change of
- * leader, a full queue. Asking again is safe, as a change carries its id.
+ * Result codes of errors that are retried on the next replica: no leader, a change of leader or a
+ * full queue. Retries are idempotent, since a change carries its id.
  */
 const RETRYABLE_CODES = ['3100', '1200', '1201', '1202', '1204', '1205', '1208'];
 
@@ -27,8 +27,9 @@
 }
 
 /**
- * Asks the control replicas in turn until one answers as the leader.
- * @throws CommandError when the group refuses or can not be reached.
+ * Calls the operator service of the control replicas in turn until one succeeds, and retries network
+ * errors and retryable result codes.
+ * @throws CommandError if the group rejects the call or no replica succeeds in time.
  * @internal
  */
 export async function callOperatorService<T>(
@@ -48,5 +49,8 @@
     }
     if ((attempt + 1) % addresses.length === 0) await sleep(RETRY_DELAY_MS);
   }
-  throw new CommandError(ExitCode.Unreachable, `no control replica answered: ${lastError}`);
+  throw new CommandError(
+    ExitCode.Unreachable,
+    `no control replica responded successfully: ${lastError}`,
+  );
 }
--- a/apps/berylwood/src/lib/checkFile.test.ts
+++ b/apps/berylwood/src/lib/checkFile.test.ts
@@ -7,7 +7,7 @@
 
 const SCENARIO = 'examples/chimney-lane/morning-dispatch.toml';
 
-/** Writes the scenario with one text replaced. */
+/** Writes a copy of the scenario in which `from` is replaced by `to`, and returns its path. */
 function writeScenario(context: TestContext, from: string, to: string): string {
   const directory = mkdtempSync(join(tmpdir(), 'berylwood-check-'));
   context.after(() => rmSync(directory, { recursive: true }));
@@ -18,17 +18,17 @@
   return file;
 }
 
-test('a load scenario is checked as one, not as a list of plans', () => {
+test('a load scenario is checked against its own schema, not that of a list of plans', () => {
   assert.deepEqual(checkFile(SCENARIO), []);
 });
 
-test('a misspelt field of a load scenario is named with its line and the nearest name', (context) => {
+test('a misspelt field of a load scenario is reported with its line and a suggestion', (context) => {
   const file = writeScenario(context, 'requests_per_second', 'request_per_second');
   const problems = checkFile(file).join('\n');
   assert.match(problems, /:7: .*request_per_second.*did you mean "requests_per_second"/);
 });
 
-test('a class of a load scenario calls either a model or a path', (context) => {
+test('a class of a load scenario must not have both a model and a path', (context) => {
   const file = writeScenario(
     context,
     'path = "/bookings"',
--- a/apps/berylwood/src/lib/checkFile.ts
+++ b/apps/berylwood/src/lib/checkFile.ts
@@ -10,13 +10,13 @@
 import { loadScenarioSchema } from '@berylwood/testing';
 import type { z } from 'zod';
 
-/** Chooses the schema of a file by the tables that it has. */
+/** Selects the schema of a file by the TOML tables that it contains. */
 function schemaOf(file: string): z.ZodType {
   let text = '';
   try {
     text = readFileSync(file, 'utf8');
   } catch {
-    // The reader reports it.
+    // `readToml` reports the error.
   }
   if (/^\s*\[\s*load\s*\]/m.test(text)) return loadScenarioSchema;
   if (/^\s*\[+\s*customers\b/m.test(text)) return customerListSchema;
@@ -24,7 +24,11 @@
   return settingsSchema;
 }
 
-/** Problems of a settings file, operator list or load scenario, as lines for a person. @internal */
+/**
+ * Validates a settings file, list of plans or customers, or load scenario, and returns one
+ * human-readable line per problem.
+ * @internal
+ */
 export function checkFile(file: string): string[] {
   const parsed = readToml(schemaOf(file), file);
   return parsed.isOk() ? [] : parsed.error.map((problem: Problem) => formatProblem(problem));
--- a/apps/berylwood/src/lib/createOperatorClient.ts
+++ b/apps/berylwood/src/lib/createOperatorClient.ts
@@ -1,10 +1,10 @@
 import type { OperatorRouter } from '@berylwood/control';
 import { createTRPCClient, httpLink } from '@trpc/client';
 
-/** Time for one answer: a frozen replica accepts connections and says nothing. */
+/** Time-out of one request. A frozen replica accepts connections but never responds. */
 const REQUEST_TIMEOUT_MS = 5000;
 
-/** A tRPC client of the operators' service at an address. @internal */
+/** Creates a tRPC client of the operator service at an address. @internal */
 export function createOperatorClient(address: string) {
   const link = httpLink({
     url: `http://${address}`,
--- a/apps/berylwood/src/lib/createProgram.ts
+++ b/apps/berylwood/src/lib/createProgram.ts
@@ -9,7 +9,7 @@
 import { runCommand } from './runCommand';
 import { timelineCommand } from './timelineCommand';
 
-/** Version of the build; the bundler fills it in. */
+/** Version of the build, inserted by the bundler. */
 const VERSION = process.env.BERYLWOOD_VERSION ?? 'development';
 
 interface StandInOptions {
--- a/apps/berylwood/src/lib/createRoles.ts
+++ b/apps/berylwood/src/lib/createRoles.ts
@@ -2,7 +2,7 @@
 import { createIncarnationId, type IncarnationId, type Settings } from '@berylwood/schema';
 import { readIdentity } from './readIdentity';
 
-/** What all roles of a process share. @internal */
+/** Services and identity shared by all roles of a process. @internal */
 export interface ProcessContext {
   readonly timer: Timer;
   readonly journal: Journal;
@@ -10,18 +10,18 @@
   readonly incarnation: IncarnationId;
 }
 
-/** Roles that take over settings which were read again. @internal */
+/** A role that can apply changed settings while it runs. @internal */
 export interface Reloadable {
   reload(settings: Settings): void;
 }
 
-/** The supervisor of a process and the roles to tell of new settings. @internal */
+/** The supervisor of a process, and the roles whose settings can be reloaded. @internal */
 export interface Roles {
   readonly tree: Supervisor;
   readonly reloadable: readonly Reloadable[];
 }
 
-/** A process that only forwards does not wait for the code of the other roles. */
+/** Roles are imported lazily, so that a gateway starts without loading the code of other roles. */
 async function addGateway(
   tree: Supervisor,
   settings: Settings,
@@ -68,7 +68,7 @@
   if (sidecars.length > 0) {
     const { Sidecar } = await import('@berylwood/sidecar');
     for (const sidecar of sidecars) {
-      // A restarted sidecar has an empty attempt table, so it is another incarnation.
+      // A restarted sidecar starts with an empty attempt table, so it gets a new incarnation.
       const create = () => ({ ...shared, incarnation: createIncarnationId() });
       tree.add(() => new Sidecar({ ...create(), process, settings: sidecar }));
     }
@@ -80,11 +80,12 @@
   }
 }
 
-/** Creates the supervisor of the roles that the settings name, in the order of their start. @internal */
+/** Creates a supervisor with the roles in the settings, added in start order. @internal */
 export async function createRoles(settings: Settings, context: ProcessContext): Promise<Roles> {
   const { timer, journal } = context;
   const { process, admin } = settings;
-  // A restarted task can not take over its predecessor's connections, so nothing else restarts.
+  // A restarted task cannot take over the connections of its predecessor, so only the failed task is
+  // restarted (one-for-one).
   const tree = new Supervisor({ name: process.name, timer, journal });
   await addPoolRoles(tree, settings, context);
   const reloadable = await addGateway(tree, settings, context);
--- a/apps/berylwood/src/lib/createRunProgram.ts
+++ b/apps/berylwood/src/lib/createRunProgram.ts
@@ -1,7 +1,7 @@
 import { Command } from 'commander';
 import { runCommand } from './runCommand';
 
-/** The command line with the one command that starts processes. @internal */
+/** Creates the command line with only the `run` command. @internal */
 export function createRunProgram(): Command {
   return new Command('berylwood').addCommand(runCommand());
 }
--- a/apps/berylwood/src/lib/createStandIn.ts
+++ b/apps/berylwood/src/lib/createStandIn.ts
@@ -1,7 +1,7 @@
 import type { StandInSettings } from '@berylwood/schema';
 import { EngineServer, PlatformServer, ServiceServer, type StandIn } from '@berylwood/testing';
 
-/** Creates the stand-in that settings or a command describe. @internal */
+/** Creates the stand-in described by settings or command options. @internal */
 export function createStandIn(settings: StandInSettings): StandIn {
   switch (settings.kind) {
     case 'engine':
--- a/apps/berylwood/src/lib/deployTemplate.test.ts
+++ b/apps/berylwood/src/lib/deployTemplate.test.ts
@@ -7,7 +7,7 @@
 
 type Value = string | number | boolean | undefined;
 
-/** Fields of a machine with a disk, as the platform gives them to the template. */
+/** Template fields that the platform provides for a machine with a disk. */
 function createFields(change: Record<string, Value> = {}): Record<string, Value> {
   return {
     nodeName: 'edge-naas-1',
@@ -33,7 +33,7 @@
   };
 }
 
-/** Fills in values, JSON values and sections without nesting, which is all that the template uses. */
+/** Renders values, JSON values and sections that are not nested; the template uses nothing else. */
 function render(template: string, fields: Record<string, Value>): string {
   return template
     .replace(/\{\{#([\w.]+)\}\}([\s\S]*?)\{\{\/\1\}\}/g, (_, name: string, inner: string) =>
@@ -41,7 +41,7 @@
     )
     .replace(/\{\{([\w.]+)(\|json)?\}\}/g, (_, name: string, json: string | undefined) => {
       const value = fields[name];
-      assert.notEqual(value, undefined, `the template names ${name}`);
+      assert.notEqual(value, undefined, `the template uses the undefined field ${name}`);
       const isText = typeof value === 'string' && name !== 'seeds';
       return json && isText ? JSON.stringify(value) : String(value);
     });
@@ -56,15 +56,15 @@
   return checkFile(file);
 }
 
-test('what the template renders for a machine with a disk is valid', (context) => {
+test('the rendered settings of a machine with a disk are valid', (context) => {
   assert.deepEqual(check(context, {}), []);
 });
 
-test('what it renders without disk, operators and platform is valid', (context) => {
+test('the rendered settings without disk, operator listener and platform are valid', (context) => {
   const change = { dataDir: undefined, 'listen.controlPlane': undefined };
   assert.deepEqual(check(context, { ...change, 'cloud.address': undefined }), []);
 });
 
-test('a field of the wrong kind is named', (context) => {
+test('a field with an invalid value is reported by name', (context) => {
   assert.match(check(context, { 'faultTolerance.machines': -1 }).join('\n'), /tolerance/);
 });
--- a/apps/berylwood/src/lib/keysCommand.ts
+++ b/apps/berylwood/src/lib/keysCommand.ts
@@ -17,14 +17,17 @@
 
 const SECRET_BYTES = 24;
 
-/** Only the owner may read a file with a secret. */
+/** Only the owner may read the secret file. */
 const SECRET_MODE = 0o600;
 
 interface GiveKeyOptions extends OperatorOptions {
   readonly secretFile?: string;
 }
 
-/** A new secret, or that of the file from an earlier try. */
+/**
+ * Returns the secret in the secret file, if an earlier attempt wrote one. Otherwise creates a new secret
+ * and writes it to the file.
+ */
 function chooseSecret({ secretFile }: GiveKeyOptions): string {
   if (secretFile && existsSync(secretFile)) return readFileSync(secretFile, 'utf8').trim();
   const secret = `bw-${randomBytes(SECRET_BYTES).toString('hex')}`;
@@ -41,7 +44,7 @@
   await waitInForce(options, given.index);
   const { key, hash: storedHash } = given.key ?? record;
   if (storedHash !== hash) {
-    const message = `${key} was given by an earlier send of ${change}, whose secret is not known here; withdraw it, or resend with the --secret-file of that time`;
+    const message = `${key} was created by an earlier send of ${change}, and its secret is not available; withdraw the key, or resend with the original --secret-file`;
     throw new CommandError(ExitCode.Refused, message);
   }
   const { index } = given;
@@ -57,7 +60,7 @@
   print(options, { change, index, inForce: true }, `${key} is withdrawn everywhere`);
 }
 
-/** `keys give|withdraw|list`. @internal */
+/** Creates the command `keys give|withdraw|list`. @internal */
 export function keysCommand(): Command {
   const keys = new Command('keys').description('keys of the workspaces');
   addChangeOptions(keys.command('give <workspace>'))
--- a/apps/berylwood/src/lib/loadCommand.ts
+++ b/apps/berylwood/src/lib/loadCommand.ts
@@ -23,7 +23,7 @@
 import { ExitCode } from './ExitCode';
 import { CommandError } from './CommandError';
 
-/** Keys by workspace, as `keys give --json` prints each. */
+/** Keys by workspace, each in the format that `keys give --json` prints. */
 const keysSchema = z.record(z.string(), z.object({ key: z.string(), secret: z.string() }));
 
 interface LoadOptions {
@@ -41,11 +41,14 @@
   try {
     return new Map(Object.entries(keysSchema.parse(JSON.parse(readFileSync(file, 'utf8')))));
   } catch (error) {
-    throw new CommandError(ExitCode.InvalidFile, `${file}: no keys (${(error as Error).message})`);
+    throw new CommandError(
+      ExitCode.InvalidFile,
+      `${file}: cannot read the keys (${(error as Error).message})`,
+    );
   }
 }
 
-/** Checks that the lists in force name what the scenario asks for. */
+/** Checks that the workspaces of the scenario are customers with a key, and that its classes exist. */
 function checkNames(
   file: string,
   { workspaces, classes }: LoadScenario,
@@ -87,7 +90,7 @@
   process.stdout.write(`${options.json ? JSON.stringify(report) : formatReport(report)}\n`);
 }
 
-/** The command that puts a load on a deployment and reports how it fared. @internal */
+/** Creates the command `load`, which sends load to a deployment and reports the results. @internal */
 export function loadCommand(): Command {
   return new Command('load')
     .description('send the requests of a scenario to the entries and report how they fared')
--- a/apps/berylwood/src/lib/operatorCommands.ts
+++ b/apps/berylwood/src/lib/operatorCommands.ts
@@ -12,7 +12,7 @@
     .description('state of the group, nodes, endpoints')
     .action(async (options: OperatorOptions) => {
       const report = await callControl(options, async (client) => {
-        // The leader answers first, so that a replica with old news is not asked.
+        // `position` succeeds only on the leader, so that no replica with stale state returns the status.
         await client.position.query();
         return client.status.query();
       });
@@ -20,7 +20,7 @@
     });
 }
 
-/** Commands that ask the control group. @internal */
+/** Creates all commands that call the control group. @internal */
 export function operatorCommands(): Command[] {
   return [
     plansCommand(),
--- a/apps/berylwood/src/lib/operatorOptions.ts
+++ b/apps/berylwood/src/lib/operatorOptions.ts
@@ -5,21 +5,21 @@
 
 const DEFAULT_CONTROL = '127.0.0.1:7071';
 
-/** Options of every command that asks the control group. @internal */
+/** Options of all commands that call the control group. @internal */
 export interface OperatorOptions {
   readonly control: string;
   readonly json?: boolean;
   readonly change?: ChangeId;
 }
 
-/** Adds the options of commands that ask. @internal */
+/** Adds the options shared by all operator commands. @internal */
 export function addOperatorOptions(command: Command): Command {
   return command
     .option('--control <addresses>', 'operators’ addresses of the replicas', DEFAULT_CONTROL)
     .option('--json', 'print JSON');
 }
 
-/** Adds the options of commands that change something. @internal */
+/** Adds the options of commands that change the state of the group. @internal */
 export function addChangeOptions(command: Command): Command {
   return addOperatorOptions(command).option(
     '--change <id>',
@@ -27,7 +27,7 @@
   );
 }
 
-/** Asks the group that the options name. @internal */
+/** Calls the control group at the addresses in the options. @internal */
 export function callControl<T>(
   options: OperatorOptions,
   call: (client: OperatorClient) => Promise<T>,
@@ -37,8 +37,8 @@
 }
 
 /**
- * The id of the change: the one given, or a new one from the present position, shown before the
- * change is sent so that it can be resent after a lost answer.
+ * Returns the change id in the options, or creates one from the current log index. A new id is printed
+ * before the change is sent, so that the change can be resent after a lost response.
  * @internal
  */
 export async function beginChange(options: OperatorOptions): Promise<ChangeId> {
--- a/apps/berylwood/src/lib/ordersCommand.ts
+++ b/apps/berylwood/src/lib/ordersCommand.ts
@@ -12,13 +12,13 @@
 
 async function recordOrder(action: OrderAction, options: OperatorOptions): Promise<void> {
   const change = await beginChange(options);
-  // The order is named after its change, so that a resend names the same order.
+  // The order id is derived from the change id, so that a resend refers to the same order.
   const order = asId<'order'>(`ord-${change}`);
   await callControl(options, (client) => client.intendOrder.mutate({ change, order, action }));
   print(options, { change, order }, `${order} is recorded`);
 }
 
-/** `orders list|start|stop|load`. @internal */
+/** Creates the command `orders list|start|stop|load`. @internal */
 export function ordersCommand(): Command {
   const orders = new Command('orders').description('orders to the platform and to engines');
   addOperatorOptions(orders.command('list', { isDefault: true }))
--- a/apps/berylwood/src/lib/plansCommand.ts
+++ b/apps/berylwood/src/lib/plansCommand.ts
@@ -27,7 +27,7 @@
     throw new CommandError(ExitCode.InvalidFile, loaded.error.map(formatProblem).join('\n'));
   }
   if (options.change && !options.expect) {
-    const message = 'a resend with --change needs the --expect of the first time';
+    const message = 'a resend with --change requires the --expect of the first send';
     throw new CommandError(ExitCode.Usage, message);
   }
   const expected = options.expect
@@ -42,7 +42,7 @@
   print(options, { change, index, revision, inForce: true }, `revision ${revision} is in force`);
 }
 
-/** `plans apply|show|history`. @internal */
+/** Creates the command `plans apply|show|history`. @internal */
 export function plansCommand(): Command {
   const plans = new Command('plans').description('what each plan may use, and customers’ plans');
   addChangeOptions(plans.command('apply <plans> <customers>'))
--- a/apps/berylwood/src/lib/readIdentity.ts
+++ b/apps/berylwood/src/lib/readIdentity.ts
@@ -3,8 +3,8 @@
 import type { TlsSettings } from '@berylwood/schema';
 
 /**
- * Reads the files of the identity that a process shows to its peers.
- * @throws when a file can not be read.
+ * Reads the certificate, key and certificate authority with which a process authenticates to peers.
+ * @throws if a file cannot be read.
  * @internal
  */
 export function readIdentity(files: NonNullable<TlsSettings['peers']>): LinkIdentity {
--- a/apps/berylwood/src/lib/readSettings.ts
+++ b/apps/berylwood/src/lib/readSettings.ts
@@ -3,8 +3,8 @@
 import { CommandError } from './CommandError';
 
 /**
- * Reads a settings file.
- * @throws CommandError with all problems of the file.
+ * Reads and validates a settings file.
+ * @throws CommandError that lists all problems of the file.
  * @internal
  */
 export function readSettings(file: string): Settings {
--- a/apps/berylwood/src/lib/replicasCommand.ts
+++ b/apps/berylwood/src/lib/replicasCommand.ts
@@ -19,7 +19,7 @@
   print(options, membership, [...members, ...admitted].join('\n'));
 }
 
-/** `replicas add|remove|list`. @internal */
+/** Creates the command `replicas add|remove|list`. @internal */
 export function replicasCommand(): Command {
   const replicas = new Command('replicas').description('members of the control group');
   addOperatorOptions(replicas.command('list', { isDefault: true }))
--- a/apps/berylwood/src/lib/runCommand.ts
+++ b/apps/berylwood/src/lib/runCommand.ts
@@ -1,6 +1,6 @@
 import { Command } from 'commander';
 
-/** The command that starts the roles of a settings file. @internal */
+/** Creates the command `run`, which starts the roles in a settings file. @internal */
 export function runCommand(): Command {
   return new Command('run')
     .description('start the roles of a settings file')
--- a/apps/berylwood/src/lib/runProcess.ts
+++ b/apps/berylwood/src/lib/runProcess.ts
@@ -27,7 +27,7 @@
   return new CommandError(ExitCode.Fault, String(error));
 }
 
-/** Resolves on the first signal to stop; a second one ends the process at once. */
+/** Resolves on the first stop signal. A second one exits the process immediately. */
 function waitForStopSignal(): Promise<void> {
   return new Promise((resolve) => {
     let count = 0;
@@ -40,14 +40,16 @@
   });
 }
 
-/** Most bytes of log lines that wait for a slow reader; further lines are dropped. */
+/** Maximum size of log lines buffered for a slow reader; further lines are dropped. */
 const MAX_BUFFERED_LOG_BYTES = 4 * 1024 * 1024;
 
-/** Bytes of log lines written together, and the longest time that they wait. */
+/** Minimum size of a batch of log lines before it is written. */
 const LOG_BATCH_BYTES = 8 * 1024;
+
+/** Maximum time that log lines are buffered. */
 const LOG_FLUSH_INTERVAL_MS = 200;
 
-/** Interval at which a changed settings file is looked for, in milliseconds. */
+/** Interval at which the settings file is checked for changes. */
 const SETTINGS_POLL_MS = 1000;
 
 function createDestination(log: Settings['log'], timer: Timer): pino.DestinationStream | undefined {
@@ -63,7 +65,7 @@
   return destination;
 }
 
-/** Reads the settings again when the file changes or a hang-up signal says so. */
+/** Reloads the settings when the file changes or the process receives SIGHUP. */
 function watchSettings(
   file: string,
   reloadable: readonly Reloadable[],
@@ -87,8 +89,8 @@
 }
 
 /**
- * Runs the roles of a settings file until a signal, then shuts them down gracefully.
- * @throws CommandError when the roles can not start or fail for good.
+ * Runs the roles in a settings file until a stop signal, then shuts them down gracefully.
+ * @throws CommandError if the roles cannot start or fail permanently.
  * @internal
  */
 export async function runProcess(file: string): Promise<void> {
@@ -100,7 +102,7 @@
   const { level } = settings.log;
   const journal = new Journal({ process: name, incarnation, timer, level, destination });
   const metrics = new Metrics();
-  // The delay of the event loop is sampled by a timer, which costs a small instance too much.
+  // The event-loop delay is sampled by a timer, which uses too much CPU on a small gateway instance.
   if (!settings.gateway) metrics.collectProcess();
   const stopped = waitForStopSignal();
   const context = { timer, journal, metrics, incarnation };
--- a/apps/berylwood/src/lib/sighupHandler.ts
+++ b/apps/berylwood/src/lib/sighupHandler.ts
@@ -1,10 +1,10 @@
 /**
- * Hang-up signals ask for a reload. The handler is set when this module is loaded, before all
- * others, since the default action of the signal ends the process.
+ * SIGHUP requests a reload of the settings. The handler is installed when this module is loaded, before
+ * all other modules, since the default action of the signal terminates the process.
  * @internal
  */
 export const sighupHandler = {
-  /** Called on each signal. */
+  /** Called on each SIGHUP; does nothing until it is replaced. */
   onSignal: (): void => {},
 };
 
--- a/apps/berylwood/src/lib/timelineCommand.ts
+++ b/apps/berylwood/src/lib/timelineCommand.ts
@@ -17,18 +17,24 @@
   readonly html?: string;
 }
 
-/** Reads a log file, or the latest events of a process at its administrator's address. */
+/** Reads a log file, or fetches the latest events of a process from its admin address. */
 async function readSource(source: string): Promise<JournalRecord[]> {
   if (existsSync(source)) return parseRecords(readFileSync(source, 'utf8'));
   if (!/:\d+$/.test(source)) {
-    throw new CommandError(ExitCode.InvalidFile, `${source}: no such file, and no IP:PORT`);
+    throw new CommandError(
+      ExitCode.InvalidFile,
+      `${source}: neither an existing file nor an IP:PORT address`,
+    );
   }
   try {
     const answer = await fetch(`http://${source}/timeline`);
     return parseRecords(await answer.text());
   } catch (error) {
     const reason = (error as Error).message;
-    throw new CommandError(ExitCode.Unreachable, `${source} does not answer: ${reason}`);
+    throw new CommandError(
+      ExitCode.Unreachable,
+      `cannot fetch the timeline from ${source}: ${reason}`,
+    );
   }
 }
 
@@ -42,7 +48,7 @@
   else process.stdout.write(`${renderText(records)}\n`);
 }
 
-/** The command `timeline`. @internal */
+/** Creates the command `timeline`. @internal */
 export function timelineCommand(): Command {
   return new Command('timeline')
     .description('events of several processes in causal order')
--- a/apps/berylwood/src/lib/usageCommand.ts
+++ b/apps/berylwood/src/lib/usageCommand.ts
@@ -1,7 +1,7 @@
 import { Command } from 'commander';
 import { addOperatorOptions, callControl, print, type OperatorOptions } from './operatorOptions';
 
-/** `usage open|windows`. @internal */
+/** Creates the command `usage open|windows`. @internal */
 export function usageCommand(): Command {
   const usage = new Command('usage').description('usage of the workspaces');
   addOperatorOptions(usage.command('open', { isDefault: true }))
--- a/apps/berylwood/src/lib/waitInForce.ts
+++ b/apps/berylwood/src/lib/waitInForce.ts
@@ -4,7 +4,7 @@
 
 const TIMEOUT_MS = 15_000;
 
-/** Time between two lines of progress. */
+/** Interval between progress lines. */
 const PROGRESS_INTERVAL_MS = 500;
 
 const MAX_SHOWN_NODES = 5;
@@ -16,8 +16,8 @@
 }
 
 /**
- * Waits until a change is in force everywhere, with progress on standard error.
- * @throws CommandError when it is not in time; the change is committed all the same.
+ * Waits until a change is in force on all nodes, and prints progress on standard error.
+ * @throws CommandError if the wait times out; the change remains committed.
  * @internal
  */
 export async function waitInForce(options: OperatorOptions, index: number): Promise<void> {
--- a/apps/berylwood/src/main.ts
+++ b/apps/berylwood/src/main.ts
@@ -3,7 +3,7 @@
 import { createRunProgram } from './lib/createRunProgram';
 import { ExitCode } from './lib/ExitCode';
 
-/** Starting a process does not wait for the code of the other commands. */
+/** Parses the command line. `run` starts faster without loading the code of the other commands. */
 async function parse(): Promise<void> {
   const isRun = process.argv[2] === 'run';
   const program = isRun
--- a/scripts/build.mjs
+++ b/scripts/build.mjs
@@ -18,6 +18,6 @@
 execFileSync(
   process.execPath,
   ['node_modules/postject/dist/cli.js', BINARY, 'NODE_SEA_BLOB', BLOB, '--sentinel-fuse', SENTINEL],
-  // Its warnings on sections of the executable do no harm; an error is in the message of the throw.
+  // Hides harmless warnings about executable sections. On failure, the thrown error contains stderr.
   { stdio: ['ignore', 'ignore', 'pipe'] },
 );
--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,7 +1,7 @@
 /**
  * Bundles the command line and all roles into one file, DIRECTORY/berylwood.cjs. With `--warm`, adds
- * the compiled code of a started gateway, and DIRECTORY/start.cjs that loads both: a restart on half a
- * core then spends its time on work, not on compiling.
+ * the V8 code cache of a started gateway, and DIRECTORY/start.cjs, which loads both. The cache avoids
+ * compilation at each restart, which is slow on half a core.
  */
 import { execFileSync } from 'node:child_process';
 import { mkdirSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -9,8 +9,8 @@
 import { build } from 'esbuild';
 
 /**
- * Optional native parts of libraries, which work without them and can not be held by a single file,
- * and the push client for metrics, which is not used and slow to load.
+ * Replaces optional native modules, which cannot be bundled into a single file and which the libraries
+ * do not require, and the push client for metrics, which is unused and slow to load.
  */
 const stubOptionalModules = {
   name: 'without-optional-parts',
@@ -46,7 +46,7 @@
   return outfile;
 }
 
-/** Settings of the gateway whose compiled code is kept; the kernel chooses its ports. */
+/** Settings of the gateway that is started to fill the code cache. The kernel chooses its ports. */
 const WARM_SETTINGS = `
 [process]
 name = "warm"
@@ -65,10 +65,10 @@
 platform = "127.0.0.1:1"
 `;
 
-/** Time for the gateway to start, in milliseconds. */
+/** Time for the gateway to start before its compiled code is saved. */
 const WARM_UP_MS = 1500;
 
-/** Starts the bundle once and keeps what V8 has compiled. */
+/** Starts the bundle once and saves the V8 code cache. */
 function warm(directory, flags) {
   const settings = join(directory, 'warm.toml');
   const start = join(directory, 'start.cjs');
--- a/scripts/example.mjs
+++ b/scripts/example.mjs
@@ -1,7 +1,7 @@
 /**
  * Starts or stops all processes of an example under examples/, each with its own settings file:
- * `node scripts/example.mjs start|stop NAME`. A start gives each workspace a key and writes the keys
- * to data/NAME/keys.json, which `berylwood load` reads.
+ * `node scripts/example.mjs start|stop NAME`. The first start creates a key for each workspace and
+ * writes the keys to data/NAME/keys.json, which `berylwood load` reads.
  */
 import { execFileSync, spawn, spawnSync } from 'node:child_process';
 import { existsSync, mkdirSync, readFileSync, readdirSync, rmSync, writeFileSync } from 'node:fs';
@@ -28,7 +28,7 @@
   return files.map((file) => readFileSync(join(directory, 'settings', file), 'utf8'));
 }
 
-/** Values of a field in the tables of a role, over all settings files. */
+/** Returns the value of a field in a TOML table from each settings file that sets it. */
 function valuesOf(table, field) {
   const pattern = new RegExp(`^\\[${table}\\][^[]*?^${field} = "([^"]+)"`, 'm');
   return readSettingsTexts().flatMap((text) => pattern.exec(text)?.[1] ?? []);
@@ -37,7 +37,8 @@
 async function waitUntil(what, limitMs, condition) {
   const deadline = Date.now() + limitMs;
   while (!(await condition())) {
-    if (Date.now() > deadline) throw new Error(`not within ${limitMs} ms: ${what}`);
+    if (Date.now() > deadline)
+      throw new Error(`timed out after ${limitMs} ms waiting until ${what}`);
     await new Promise((resolve) => {
       setTimeout(resolve, POLL_MS);
     });
@@ -91,16 +92,18 @@
     (await Promise.all(entries.map(isReady))).every(Boolean),
   );
   if (!existsSync(keyFile)) giveKeys();
-  console.log(`${pids.length} processes run; entries: ${entries.join(', ')}; keys: ${keyFile}`);
+  console.log(
+    `${pids.length} processes are running; entries: ${entries.join(', ')}; keys: ${keyFile}`,
+  );
 }
 
 async function stop() {
-  if (!existsSync(pidFile)) fail(`${name} does not run`);
+  if (!existsSync(pidFile)) fail(`${name} is not running`);
   const pids = JSON.parse(readFileSync(pidFile, 'utf8'));
   for (const pid of pids.filter(isRunning)) process.kill(pid, 'SIGTERM');
   await waitUntil('all processes have ended', STOP_LIMIT_MS, () => !pids.some(isRunning));
   rmSync(pidFile);
-  console.log(`${pids.length} processes have ended`);
+  console.log(`${pids.length} processes stopped`);
 }
 
 if (!existsSync(join(directory, 'settings')))
--- a/scripts/machines.ts
+++ b/scripts/machines.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the diagrams and tables of the attempt machines into docs/design/attempts.md, between its
- * markers. With `--check` it writes nothing and fails when the page differs from the code.
+ * Generates the diagrams and tables of the attempt state machines between the markers in
+ * docs/design/attempts.md. With `--check`, it writes nothing and fails if the page differs.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { exchangeTable } from '@berylwood/entry';
@@ -26,7 +26,7 @@
   const [start, end] = [`<!-- ${name} machine -->`, `<!-- end of ${name} machine -->`];
   const at = page.indexOf(start);
   const endAt = page.indexOf(end);
-  if (at < 0 || endAt < at) throw new Error(`${PAGE} lacks the markers of ${name}`);
+  if (at < 0 || endAt < at) throw new Error(`${PAGE} has no markers for the ${name} machine`);
   page = `${page.slice(0, at + start.length)}\n\n${text}\n\n${page.slice(endAt)}`;
 }
 if (!process.argv.includes('--check')) writeFileSync(PAGE, page);
--- a/scripts/start.mjs
+++ b/scripts/start.mjs
@@ -1,6 +1,6 @@
 /**
- * Starts all roles in one process with stand-in endpoints and examples/quickstart, after installing
- * and building what is missing, and prints a command that gets an answer.
+ * Starts all roles in one process with stand-in endpoints and the settings in examples/quickstart, and
+ * prints a command that sends a request. Installs dependencies and builds the binary if missing.
  */
 import { spawn, spawnSync } from 'node:child_process';
 import { existsSync, mkdirSync } from 'node:fs';
@@ -27,7 +27,7 @@
 if (!existsSync('node_modules/esbuild')) step('npm', ['ci', '--no-audit', '--no-fund']);
 if (!existsSync(BINARY)) step(process.execPath, ['scripts/build.mjs']);
 
-// The program never creates a data folder, as a missing one may be a disk that is not mounted.
+// The program never creates its data directory, since a missing one can be a disk that is not mounted.
 mkdirSync('data/quickstart', { recursive: true });
 const settings = 'examples/quickstart/settings.toml';
 const child = spawn(BINARY, ['run', '--settings', settings], { stdio: 'inherit' });
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,19 +1,19 @@
 /**
- * Runs all tests: builds the binary, then runs the unit tests of the packages, the tests of real
- * processes and the scenarios. Arguments name test files to run alone. Tests listed in
- * KNOWN-RED.txt (first field: the exact test name) are printed and passed over.
+ * Builds the binary and runs the unit tests, the process tests and the scenarios. With arguments, runs
+ * only these test files. Failures of tests listed in KNOWN-RED.txt (`test:` field, exact name) are
+ * printed and do not fail the run.
  */
 import { spawnSync } from 'node:child_process';
 import { existsSync, mkdirSync, readFileSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
 
-/** Test files run at a time: real processes need cores of their own. */
+/** Number of test files run in parallel. It is limited because process tests need their own cores. */
 const CONCURRENCY = 4;
 
-/** Longest time of one test file, so that a hanging one gives a verdict too. */
+/** Time limit of one test file, so that a hanging test fails. */
 const TEST_LIMIT_MS = 180_000;
 
-/** Report from which the names of failed tests are read. */
+/** TAP report from which the names of failed tests are read. */
 const REPORT = 'build/tests.tap';
 
 function findTests(directory) {
@@ -32,7 +32,7 @@
   return lines.filter((line) => line.startsWith('test: ')).map((line) => line.slice(6).trim());
 }
 
-/** Names of the failed tests in a TAP report, innermost only. */
+/** Returns the names of failed tests in a TAP report, without the test files that contain them. */
 function parseFailedTests(report) {
   const names = [...report.matchAll(/^\s*not ok \d+ - (.*?)(?: # .*)?$/gm)].map(([, name]) => name);
   return [...new Set(names)].filter((name) => !name.endsWith('.test.ts'));
