--- a/apps/berylwood/src/lib/createRoles.ts
+++ b/apps/berylwood/src/lib/createRoles.ts
@@ -55,28 +55,28 @@
 ): Promise<void> {
   const { process, entry, control, observer, sidecars, standIns, tls } = settings;
   const identity = tls?.peers && readIdentity(tls.peers);
-  const shared = { ...context, identity };
+  const sharedOptions = { ...context, identity };
   if (standIns.length > 0) {
     const { createStandIn } = await import('./createStandIn');
     for (const standIn of standIns) tree.add(() => createStandIn(standIn));
   }
   if (control || observer) {
     const { Control, Observer } = await import('@berylwood/control');
-    if (control) tree.add(() => new Control({ ...shared, settings: control }));
-    if (observer) tree.add(() => new Observer({ ...shared, process, settings: observer }));
+    if (control) tree.add(() => new Control({ ...sharedOptions, settings: control }));
+    if (observer) tree.add(() => new Observer({ ...sharedOptions, process, settings: observer }));
   }
   if (sidecars.length > 0) {
     const { Sidecar } = await import('@berylwood/sidecar');
     for (const sidecar of sidecars) {
       // A restarted sidecar starts with an empty attempt table, so it gets a new incarnation.
-      const create = () => ({ ...shared, incarnation: createIncarnationId() });
-      tree.add(() => new Sidecar({ ...create(), process, settings: sidecar }));
+      const createOptions = () => ({ ...sharedOptions, incarnation: createIncarnationId() });
+      tree.add(() => new Sidecar({ ...createOptions(), process, settings: sidecar }));
     }
   }
   const certificate = tls?.callers;
   if (entry) {
     const { Entry } = await import('@berylwood/entry');
-    tree.add(() => new Entry({ ...shared, process, settings: entry, certificate }));
+    tree.add(() => new Entry({ ...sharedOptions, process, settings: entry, certificate }));
   }
 }
 
--- a/apps/berylwood/src/lib/deployTemplate.test.ts
+++ b/apps/berylwood/src/lib/deployTemplate.test.ts
@@ -8,7 +8,7 @@
 type Value = string | number | boolean | undefined;
 
 /** Template fields that the platform provides for a machine with a disk. */
-function createFields(change: Record<string, Value> = {}): Record<string, Value> {
+function createFields(overrides: Record<string, Value> = {}): Record<string, Value> {
   return {
     nodeName: 'edge-naas-1',
     zone: 'naas',
@@ -29,7 +29,7 @@
     'bounds.retryBudgetRatio': 0.2,
     'bounds.retryBudgetSlack': 60,
     'bounds.leaseMs': 3000,
-    ...change,
+    ...overrides,
   };
 }
 
@@ -47,12 +47,12 @@
     });
 }
 
-function check(context: TestContext, change: Record<string, Value>): string[] {
+function check(context: TestContext, overrides: Record<string, Value>): string[] {
   const directory = mkdtempSync(join(tmpdir(), 'berylwood-template-'));
   context.after(() => rmSync(directory, { recursive: true }));
   const file = join(directory, 'settings.toml');
   const template = readFileSync('deploy/gateway.toml.template', 'utf8');
-  writeFileSync(file, render(template, createFields(change)));
+  writeFileSync(file, render(template, createFields(overrides)));
   return checkFile(file);
 }
 
@@ -61,8 +61,8 @@
 });
 
 test('the rendered settings without disk, operator listener and platform are valid', (context) => {
-  const change = { dataDir: undefined, 'listen.controlPlane': undefined };
-  assert.deepEqual(check(context, { ...change, 'cloud.address': undefined }), []);
+  const overrides = { dataDir: undefined, 'listen.controlPlane': undefined };
+  assert.deepEqual(check(context, { ...overrides, 'cloud.address': undefined }), []);
 });
 
 test('a field with an invalid value is reported by name', (context) => {
--- a/apps/berylwood/src/lib/keysCommand.ts
+++ b/apps/berylwood/src/lib/keysCommand.ts
@@ -9,7 +9,7 @@
   addChangeOptions,
   addOperatorOptions,
   callControl,
-  beginChange,
+  resolveChangeId,
   print,
   type OperatorOptions,
 } from './operatorOptions';
@@ -38,21 +38,21 @@
 async function giveKey(workspace: string, options: GiveKeyOptions): Promise<void> {
   const secret = chooseSecret(options);
   const hash = hashSecret(secret);
-  const change = await beginChange(options);
+  const change = await resolveChangeId(options);
   const record = { key: createKeyId(), hash, workspace: asWorkspaceId(workspace) };
-  const given = await callControl(options, (client) => client.giveKey.mutate({ change, record }));
-  await waitInForce(options, given.index);
-  const { key, hash: storedHash } = given.key ?? record;
+  const created = await callControl(options, (client) => client.giveKey.mutate({ change, record }));
+  await waitInForce(options, created.index);
+  const { key, hash: storedHash } = created.key ?? record;
   if (storedHash !== hash) {
     const message = `${key} was created by an earlier send of ${change}, and its secret is not available; withdraw the key, or resend with the original --secret-file`;
     throw new CommandError(ExitCode.Refused, message);
   }
-  const { index } = given;
+  const { index } = created;
   print(options, { key, secret, change, index, inForce: true }, `${key} ${secret}`);
 }
 
 async function withdrawKey(key: KeyId, options: OperatorOptions): Promise<void> {
-  const change = await beginChange(options);
+  const change = await resolveChangeId(options);
   const { index } = await callControl(options, (client) =>
     client.withdrawKey.mutate({ change, key }),
   );
--- a/apps/berylwood/src/lib/operatorOptions.ts
+++ b/apps/berylwood/src/lib/operatorOptions.ts
@@ -41,7 +41,7 @@
  * before the change is sent, so that the change can be resent after a lost response.
  * @internal
  */
-export async function beginChange(options: OperatorOptions): Promise<ChangeId> {
+export async function resolveChangeId(options: OperatorOptions): Promise<ChangeId> {
   if (options.change) return options.change;
   const { index } = await callControl(options, (client) => client.position.query());
   const change = createChangeId(index);
--- a/apps/berylwood/src/lib/ordersCommand.ts
+++ b/apps/berylwood/src/lib/ordersCommand.ts
@@ -5,13 +5,13 @@
   addChangeOptions,
   addOperatorOptions,
   callControl,
-  beginChange,
+  resolveChangeId,
   print,
   type OperatorOptions,
 } from './operatorOptions';
 
 async function recordOrder(action: OrderAction, options: OperatorOptions): Promise<void> {
-  const change = await beginChange(options);
+  const change = await resolveChangeId(options);
   // The order id is derived from the change id, so that a resend refers to the same order.
   const order = asId<'order'>(`ord-${change}`);
   await callControl(options, (client) => client.intendOrder.mutate({ change, order, action }));
--- a/apps/berylwood/src/lib/plansCommand.ts
+++ b/apps/berylwood/src/lib/plansCommand.ts
@@ -6,7 +6,7 @@
   addChangeOptions,
   addOperatorOptions,
   callControl,
-  beginChange,
+  resolveChangeId,
   print,
   type OperatorOptions,
 } from './operatorOptions';
@@ -33,7 +33,7 @@
   const expected = options.expect
     ? Number(options.expect)
     : (await callControl(options, (client) => client.position.query())).revision;
-  const change = await beginChange(options);
+  const change = await resolveChangeId(options);
   const { operator } = options;
   const { index, revision } = await callControl(options, (client) =>
     client.applyPlans.mutate({ change, operator, expected, configuration: loaded.value }),
--- a/apps/berylwood/src/lib/runProcess.ts
+++ b/apps/berylwood/src/lib/runProcess.ts
@@ -104,7 +104,7 @@
   const metrics = new Metrics();
   // The event-loop delay is sampled by a timer, which uses too much CPU on a small gateway instance.
   if (!settings.gateway) metrics.collectProcess();
-  const stopped = waitForStopSignal();
+  const stopSignal = waitForStopSignal();
   const context = { timer, journal, metrics, incarnation };
   const { tree, reloadable } = await createRoles(settings, context);
   await tree.start().catch((error: unknown) => {
@@ -113,7 +113,7 @@
   journal.record(baseEvents.processStarted, { name });
   if (reloadable.length > 0) watchSettings(file, reloadable, context);
   const failed = tree.run();
-  await Promise.race([stopped, failed]).catch((error: unknown) => {
+  await Promise.race([stopSignal, failed]).catch((error: unknown) => {
     throw toCommandError(error);
   });
   journal.record(baseEvents.processStopping, { name });
--- a/apps/berylwood/src/lib/timelineCommand.ts
+++ b/apps/berylwood/src/lib/timelineCommand.ts
@@ -27,8 +27,8 @@
     );
   }
   try {
-    const answer = await fetch(`http://${source}/timeline`);
-    return parseRecords(await answer.text());
+    const response = await fetch(`http://${source}/timeline`);
+    return parseRecords(await response.text());
   } catch (error) {
     const reason = (error as Error).message;
     throw new CommandError(
@@ -42,7 +42,7 @@
   const logs = await Promise.all(sources.map(readSource));
   const records = filterRecords(mergeRecords(logs), options);
   if (options.html) {
-    writeFileSync(options.html, renderHtml(records, 'berylwood time line'));
+    writeFileSync(options.html, renderHtml(records, 'berylwood timeline'));
     process.stdout.write(`${records.length} events in ${options.html}\n`);
   } else if (options.json) process.stdout.write(`${JSON.stringify(records)}\n`);
   else process.stdout.write(`${renderText(records)}\n`);
--- a/apps/berylwood/src/lib/waitInForce.ts
+++ b/apps/berylwood/src/lib/waitInForce.ts
@@ -9,7 +9,7 @@
 
 const MAX_SHOWN_NODES = 5;
 
-function describe(pending: readonly string[]): string {
+function formatPending(pending: readonly string[]): string {
   const more =
     pending.length > MAX_SHOWN_NODES ? ` and ${pending.length - MAX_SHOWN_NODES} more` : '';
   return `${pending.slice(0, MAX_SHOWN_NODES).join(', ')}${more}`;
@@ -29,8 +29,8 @@
     );
     if (report.inForce) return;
     pending = report.pending;
-    process.stderr.write(`committed; waiting for ${describe(pending)}\n`);
+    process.stderr.write(`committed; waiting for ${formatPending(pending)}\n`);
   } while (performance.now() < deadline);
-  const message = `committed, but not yet in force on: ${describe(pending)}`;
+  const message = `committed, but not yet in force on: ${formatPending(pending)}`;
   throw new CommandError(ExitCode.NotInForce, message);
 }
--- a/packages/base/src/lib/VirtualTimer.ts
+++ b/packages/base/src/lib/VirtualTimer.ts
@@ -61,12 +61,16 @@
   }
 
   #next(): ScheduledCallback | undefined {
-    let best: ScheduledCallback | undefined;
+    let earliest: ScheduledCallback | undefined;
     for (const entry of this.#scheduled) {
-      if (!best || entry.at < best.at || (entry.at === best.at && entry.sequence < best.sequence)) {
-        best = entry;
+      if (
+        !earliest ||
+        entry.at < earliest.at ||
+        (entry.at === earliest.at && entry.sequence < earliest.sequence)
+      ) {
+        earliest = entry;
       }
     }
-    return best;
+    return earliest;
   }
 }
--- a/scripts/machines.ts
+++ b/scripts/machines.ts
@@ -11,12 +11,12 @@
 
 const sections = {
   entry: renderMachine(exchangeTable, {
-    'The caller may be told of this attempt: not run': ({ notRun }) => String(notRun),
-    'Longest stay': ({ limitMs }) => (limitMs === undefined ? 'no limit' : `${limitMs} ms`),
+    'Proved not to have run': ({ notRun }) => String(notRun),
+    'Time limit': ({ limitMs }) => (limitMs === undefined ? 'no limit' : `${limitMs} ms`),
   }),
   sidecar: renderMachine(attemptTable, {
-    'An entry that revokes is told': ({ revoked }) => revoked,
-    'A failure says: not run': ({ notRun }) => String(notRun),
+    'Reply to a revocation': ({ revoked }) => revoked,
+    '`not_run` of a failure': ({ notRun }) => String(notRun),
   }),
 };
 
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -65,8 +65,8 @@
   return spawnSync(process.execPath, args, { stdio: 'inherit' }).status === 0;
 }
 
-const named = process.argv.slice(2);
-if (named.length > 0) process.exit(runUnitTests(named) ? 0 : 1);
+const testFiles = process.argv.slice(2);
+if (testFiles.length > 0) process.exit(runUnitTests(testFiles) ? 0 : 1);
 const build = spawnSync(process.execPath, ['scripts/build.mjs'], { stdio: 'inherit' });
 if (build.status !== 0) process.exit(1);
 const unitTestsPass = runUnitTests([
