--- a/apps/berylwood/src/lib/createRoles.ts
+++ b/apps/berylwood/src/lib/createRoles.ts
@@ -2,30 +2,30 @@
 import { createIncarnationId, type IncarnationId, type Settings } from '@berylwood/schema';
 import { readIdentity } from './readIdentity';
 
-/** What all roles of a process share. @internal */
-export interface Surroundings {
+/** Services and identity shared by all roles of a process. @internal */
+export interface ProcessContext {
   readonly timer: Timer;
   readonly journal: Journal;
   readonly metrics: Metrics;
   readonly incarnation: IncarnationId;
 }
 
-/** Roles that take over settings which were read again. @internal */
+/** A role that can apply changed settings while it runs. @internal */
 export interface Reloadable {
   reload(settings: Settings): void;
 }
 
-/** The supervisor of a process and the roles to tell of new settings. @internal */
+/** The supervisor of a process, and the roles whose settings can be reloaded. @internal */
 export interface Roles {
   readonly tree: Supervisor;
   readonly reloadable: readonly Reloadable[];
 }
 
-/** A process that only forwards does not wait for the code of the other roles. */
+/** Roles are imported lazily, so that a gateway starts without loading the code of other roles. */
 async function addGateway(
   tree: Supervisor,
   settings: Settings,
-  surroundings: Surroundings,
+  context: ProcessContext,
 ): Promise<Reloadable[]> {
   const { gateway } = settings;
   if (!gateway) return [];
@@ -36,7 +36,7 @@
   const { platform: address, instance: holder } = gateway;
   const platform = address === undefined ? undefined : new PlatformClient({ address, holder });
   const task = new Gateway({
-    ...surroundings,
+    ...context,
     settings: gateway,
     wire: new PlatformWire(),
     platform,
@@ -51,46 +51,47 @@
 async function addPoolRoles(
   tree: Supervisor,
   settings: Settings,
-  surroundings: Surroundings,
+  context: ProcessContext,
 ): Promise<void> {
   const { process, entry, control, observer, sidecars, standIns, tls } = settings;
   const identity = tls?.peers && readIdentity(tls.peers);
-  const shared = { ...surroundings, identity };
+  const sharedOptions = { ...context, identity };
   if (standIns.length > 0) {
     const { createStandIn } = await import('./createStandIn');
     for (const standIn of standIns) tree.add(() => createStandIn(standIn));
   }
   if (control || observer) {
     const { Control, Observer } = await import('@berylwood/control');
-    if (control) tree.add(() => new Control({ ...shared, settings: control }));
-    if (observer) tree.add(() => new Observer({ ...shared, process, settings: observer }));
+    if (control) tree.add(() => new Control({ ...sharedOptions, settings: control }));
+    if (observer) tree.add(() => new Observer({ ...sharedOptions, process, settings: observer }));
   }
   if (sidecars.length > 0) {
     const { Sidecar } = await import('@berylwood/sidecar');
     for (const sidecar of sidecars) {
-      // A restarted sidecar has an empty attempt table, so it is another incarnation.
-      const create = () => ({ ...shared, incarnation: createIncarnationId() });
-      tree.add(() => new Sidecar({ ...create(), process, settings: sidecar }));
+      // A restarted sidecar starts with an empty attempt table, so it gets a new incarnation.
+      const createOptions = () => ({ ...sharedOptions, incarnation: createIncarnationId() });
+      tree.add(() => new Sidecar({ ...createOptions(), process, settings: sidecar }));
     }
   }
   const certificate = tls?.callers;
   if (entry) {
     const { Entry } = await import('@berylwood/entry');
-    tree.add(() => new Entry({ ...shared, process, settings: entry, certificate }));
+    tree.add(() => new Entry({ ...sharedOptions, process, settings: entry, certificate }));
   }
 }
 
-/** Creates the supervisor of the roles that the settings name, in the order of their start. @internal */
-export async function createRoles(settings: Settings, surroundings: Surroundings): Promise<Roles> {
-  const { timer, journal } = surroundings;
+/** Creates a supervisor with the roles in the settings, added in start order. @internal */
+export async function createRoles(settings: Settings, context: ProcessContext): Promise<Roles> {
+  const { timer, journal } = context;
   const { process, admin } = settings;
-  // A restarted task can not take over its predecessor's connections, so nothing else restarts.
+  // A restarted task cannot take over the connections of its predecessor, so only the failed task is
+  // restarted (one-for-one).
   const tree = new Supervisor({ name: process.name, timer, journal });
-  await addPoolRoles(tree, settings, surroundings);
-  const reloadable = await addGateway(tree, settings, surroundings);
+  await addPoolRoles(tree, settings, context);
+  const reloadable = await addGateway(tree, settings, context);
   if (admin) {
     const { AdminServer } = await import('./AdminServer');
-    tree.add(() => new AdminServer(admin.listen, surroundings));
+    tree.add(() => new AdminServer(admin.listen, context));
   }
   return { tree, reloadable };
 }
--- a/apps/berylwood/src/lib/deployTemplate.test.ts
+++ b/apps/berylwood/src/lib/deployTemplate.test.ts
@@ -7,8 +7,8 @@
 
 type Value = string | number | boolean | undefined;
 
-/** Fields of a machine with a disk, as the platform gives them to the template. */
-function createFields(change: Record<string, Value> = {}): Record<string, Value> {
+/** Template fields that the platform provides for a machine with a disk. */
+function createFields(overrides: Record<string, Value> = {}): Record<string, Value> {
   return {
     nodeName: 'edge-naas-1',
     zone: 'naas',
@@ -29,11 +29,11 @@
     'bounds.retryBudgetRatio': 0.2,
     'bounds.retryBudgetSlack': 60,
     'bounds.leaseMs': 3000,
-    ...change,
+    ...overrides,
   };
 }
 
-/** Fills in values, JSON values and sections without nesting, which is all that the template uses. */
+/** Renders values, JSON values and sections that are not nested; the template uses nothing else. */
 function render(template: string, fields: Record<string, Value>): string {
   return template
     .replace(/\{\{#([\w.]+)\}\}([\s\S]*?)\{\{\/\1\}\}/g, (_, name: string, inner: string) =>
@@ -41,30 +41,30 @@
     )
     .replace(/\{\{([\w.]+)(\|json)?\}\}/g, (_, name: string, json: string | undefined) => {
       const value = fields[name];
-      assert.notEqual(value, undefined, `the template names ${name}`);
+      assert.notEqual(value, undefined, `the template uses the undefined field ${name}`);
       const isText = typeof value === 'string' && name !== 'seeds';
       return json && isText ? JSON.stringify(value) : String(value);
     });
 }
 
-function check(context: TestContext, change: Record<string, Value>): string[] {
-  const folder = mkdtempSync(join(tmpdir(), 'berylwood-template-'));
-  context.after(() => rmSync(folder, { recursive: true }));
-  const file = join(folder, 'settings.toml');
+function check(context: TestContext, overrides: Record<string, Value>): string[] {
+  const directory = mkdtempSync(join(tmpdir(), 'berylwood-template-'));
+  context.after(() => rmSync(directory, { recursive: true }));
+  const file = join(directory, 'settings.toml');
   const template = readFileSync('deploy/gateway.toml.template', 'utf8');
-  writeFileSync(file, render(template, createFields(change)));
+  writeFileSync(file, render(template, createFields(overrides)));
   return checkFile(file);
 }
 
-test('what the template renders for a machine with a disk is valid', (context) => {
+test('the rendered settings of a machine with a disk are valid', (context) => {
   assert.deepEqual(check(context, {}), []);
 });
 
-test('what it renders without disk, operators and platform is valid', (context) => {
-  const change = { dataDir: undefined, 'listen.controlPlane': undefined };
-  assert.deepEqual(check(context, { ...change, 'cloud.address': undefined }), []);
+test('the rendered settings without disk, operator listener and platform are valid', (context) => {
+  const overrides = { dataDir: undefined, 'listen.controlPlane': undefined };
+  assert.deepEqual(check(context, { ...overrides, 'cloud.address': undefined }), []);
 });
 
-test('a field of the wrong kind is named', (context) => {
+test('a field with an invalid value is reported by name', (context) => {
   assert.match(check(context, { 'faultTolerance.machines': -1 }).join('\n'), /tolerance/);
 });
--- a/apps/berylwood/src/lib/keysCommand.ts
+++ b/apps/berylwood/src/lib/keysCommand.ts
@@ -8,8 +8,8 @@
 import {
   addChangeOptions,
   addOperatorOptions,
-  ask,
-  beginChange,
+  callControl,
+  resolveChangeId,
   print,
   type OperatorOptions,
 } from './operatorOptions';
@@ -17,45 +17,50 @@
 
 const SECRET_BYTES = 24;
 
-/** Only the owner may read a file with a secret. */
+/** Only the owner may read the secret file. */
 const SECRET_MODE = 0o600;
 
-interface GiveOptions extends OperatorOptions {
+interface GiveKeyOptions extends OperatorOptions {
   readonly secretFile?: string;
 }
 
-/** A new secret, or that of the file from an earlier try. */
-function chooseSecret({ secretFile }: GiveOptions): string {
+/**
+ * Returns the secret in the secret file, if an earlier attempt wrote one. Otherwise creates a new secret
+ * and writes it to the file.
+ */
+function chooseSecret({ secretFile }: GiveKeyOptions): string {
   if (secretFile && existsSync(secretFile)) return readFileSync(secretFile, 'utf8').trim();
   const secret = `bw-${randomBytes(SECRET_BYTES).toString('hex')}`;
   if (secretFile) writeFileSync(secretFile, `${secret}\n`, { mode: SECRET_MODE, flag: 'wx' });
   return secret;
 }
 
-async function giveKey(workspace: string, options: GiveOptions): Promise<void> {
+async function giveKey(workspace: string, options: GiveKeyOptions): Promise<void> {
   const secret = chooseSecret(options);
   const hash = hashSecret(secret);
-  const change = await beginChange(options);
+  const change = await resolveChangeId(options);
   const record = { key: createKeyId(), hash, workspace: asWorkspaceId(workspace) };
-  const given = await ask(options, (client) => client.giveKey.mutate({ change, record }));
-  await waitInForce(options, given.index);
-  const { key, hash: storedHash } = given.key ?? record;
+  const created = await callControl(options, (client) => client.giveKey.mutate({ change, record }));
+  await waitInForce(options, created.index);
+  const { key, hash: storedHash } = created.key ?? record;
   if (storedHash !== hash) {
-    const message = `${key} was given by an earlier send of ${change}, whose secret is not known here; withdraw it, or resend with the --secret-file of that time`;
+    const message = `${key} was created by an earlier send of ${change}, and its secret is not available; withdraw the key, or resend with the original --secret-file`;
     throw new CommandError(ExitCode.Refused, message);
   }
-  const { index } = given;
+  const { index } = created;
   print(options, { key, secret, change, index, inForce: true }, `${key} ${secret}`);
 }
 
 async function withdrawKey(key: KeyId, options: OperatorOptions): Promise<void> {
-  const change = await beginChange(options);
-  const { index } = await ask(options, (client) => client.withdrawKey.mutate({ change, key }));
+  const change = await resolveChangeId(options);
+  const { index } = await callControl(options, (client) =>
+    client.withdrawKey.mutate({ change, key }),
+  );
   await waitInForce(options, index);
   print(options, { change, index, inForce: true }, `${key} is withdrawn everywhere`);
 }
 
-/** `keys give|withdraw|list`. @internal */
+/** Creates the command `keys give|withdraw|list`. @internal */
 export function keysCommand(): Command {
   const keys = new Command('keys').description('keys of the workspaces');
   addChangeOptions(keys.command('give <workspace>'))
@@ -68,7 +73,7 @@
   addOperatorOptions(keys.command('list'))
     .description('keys in force, without their secrets')
     .action(async (options: OperatorOptions) => {
-      const listed = await ask(options, (client) => client.listKeys.query());
+      const listed = await callControl(options, (client) => client.listKeys.query());
       const lines = listed.map(({ key, workspace }) => `${key} ${workspace}`);
       print(options, listed, lines.join('\n'));
     });
--- a/apps/berylwood/src/lib/loadCommand.ts
+++ b/apps/berylwood/src/lib/loadCommand.ts
@@ -23,7 +23,7 @@
 import { ExitCode } from './ExitCode';
 import { CommandError } from './CommandError';
 
-/** Keys by workspace, as `keys give --json` prints each. */
+/** Keys by workspace, each in the format that `keys give --json` prints. */
 const keysSchema = z.record(z.string(), z.object({ key: z.string(), secret: z.string() }));
 
 interface LoadOptions {
@@ -32,7 +32,7 @@
   readonly seed?: string;
 }
 
-function valueOf<T>(result: Result<T, Problem[]>): T {
+function unwrap<T>(result: Result<T, Problem[]>): T {
   if (result.isOk()) return result.value;
   throw new CommandError(ExitCode.InvalidFile, result.error.map(formatProblem).join('\n'));
 }
@@ -41,11 +41,14 @@
   try {
     return new Map(Object.entries(keysSchema.parse(JSON.parse(readFileSync(file, 'utf8')))));
   } catch (error) {
-    throw new CommandError(ExitCode.InvalidFile, `${file}: no keys (${(error as Error).message})`);
+    throw new CommandError(
+      ExitCode.InvalidFile,
+      `${file}: cannot read the keys (${(error as Error).message})`,
+    );
   }
 }
 
-/** Checks that the lists in force name what the scenario asks for. */
+/** Checks that the workspaces of the scenario are customers with a key, and that its classes exist. */
 function checkNames(
   file: string,
   { workspaces, classes }: LoadScenario,
@@ -72,11 +75,11 @@
 }
 
 async function runLoad(file: string, options: LoadOptions): Promise<void> {
-  const read = valueOf(readToml(loadScenarioSchema, file));
-  const seed = options.seed === undefined ? read.load.seed : Number(options.seed);
-  const scenario = { ...read, load: { ...read.load, seed } };
+  const parsed = unwrap(readToml(loadScenarioSchema, file));
+  const seed = options.seed === undefined ? parsed.load.seed : Number(options.seed);
+  const scenario = { ...parsed, load: { ...parsed.load, seed } };
   const { plans, customers } = scenario.load;
-  const configuration = valueOf(loadConfiguration(plans, customers));
+  const configuration = unwrap(loadConfiguration(plans, customers));
   const keys = readKeys(scenario.load.keys);
   checkNames(file, scenario, configuration, keys);
   const timer = new SystemTimer();
@@ -87,7 +90,7 @@
   process.stdout.write(`${options.json ? JSON.stringify(report) : formatReport(report)}\n`);
 }
 
-/** The command that puts a load on a deployment and reports how it fared. @internal */
+/** Creates the command `load`, which sends load to a deployment and reports the results. @internal */
 export function loadCommand(): Command {
   return new Command('load')
     .description('send the requests of a scenario to the entries and report how they fared')
--- a/apps/berylwood/src/lib/operatorOptions.ts
+++ b/apps/berylwood/src/lib/operatorOptions.ts
@@ -1,25 +1,25 @@
 import { createChangeId, type ChangeId } from '@berylwood/schema';
 import type { Command } from 'commander';
-import { askOperator } from './askOperator';
+import { callOperatorService } from './callOperatorService';
 import type { OperatorClient } from './createOperatorClient';
 
 const DEFAULT_CONTROL = '127.0.0.1:7071';
 
-/** Options of every command that asks the control group. @internal */
+/** Options of all commands that call the control group. @internal */
 export interface OperatorOptions {
   readonly control: string;
   readonly json?: boolean;
   readonly change?: ChangeId;
 }
 
-/** Adds the options of commands that ask. @internal */
+/** Adds the options shared by all operator commands. @internal */
 export function addOperatorOptions(command: Command): Command {
   return command
     .option('--control <addresses>', 'operators’ addresses of the replicas', DEFAULT_CONTROL)
     .option('--json', 'print JSON');
 }
 
-/** Adds the options of commands that change something. @internal */
+/** Adds the options of commands that change the state of the group. @internal */
 export function addChangeOptions(command: Command): Command {
   return addOperatorOptions(command).option(
     '--change <id>',
@@ -27,23 +27,23 @@
   );
 }
 
-/** Asks the group that the options name. @internal */
-export function ask<T>(
+/** Calls the control group at the addresses in the options. @internal */
+export function callControl<T>(
   options: OperatorOptions,
-  question: (client: OperatorClient) => Promise<T>,
+  call: (client: OperatorClient) => Promise<T>,
 ): Promise<T> {
   const addresses = options.control.split(',').map((address) => address.trim());
-  return askOperator(addresses, question);
+  return callOperatorService(addresses, call);
 }
 
 /**
- * The id of the change: the one given, or a new one from the present position, shown before the
- * change is sent so that it can be resent after a lost answer.
+ * Returns the change id in the options, or creates one from the current log index. A new id is printed
+ * before the change is sent, so that the change can be resent after a lost response.
  * @internal
  */
-export async function beginChange(options: OperatorOptions): Promise<ChangeId> {
+export async function resolveChangeId(options: OperatorOptions): Promise<ChangeId> {
   if (options.change) return options.change;
-  const { index } = await ask(options, (client) => client.position.query());
+  const { index } = await callControl(options, (client) => client.position.query());
   const change = createChangeId(index);
   process.stderr.write(`change ${change}\n`);
   return change;
--- a/apps/berylwood/src/lib/plansCommand.ts
+++ b/apps/berylwood/src/lib/plansCommand.ts
@@ -5,8 +5,8 @@
 import {
   addChangeOptions,
   addOperatorOptions,
-  ask,
-  beginChange,
+  callControl,
+  resolveChangeId,
   print,
   type OperatorOptions,
 } from './operatorOptions';
@@ -27,22 +27,22 @@
     throw new CommandError(ExitCode.InvalidFile, loaded.error.map(formatProblem).join('\n'));
   }
   if (options.change && !options.expect) {
-    const message = 'a resend with --change needs the --expect of the first time';
+    const message = 'a resend with --change requires the --expect of the first send';
     throw new CommandError(ExitCode.Usage, message);
   }
   const expected = options.expect
     ? Number(options.expect)
-    : (await ask(options, (client) => client.position.query())).revision;
-  const change = await beginChange(options);
+    : (await callControl(options, (client) => client.position.query())).revision;
+  const change = await resolveChangeId(options);
   const { operator } = options;
-  const { index, revision } = await ask(options, (client) =>
+  const { index, revision } = await callControl(options, (client) =>
     client.applyPlans.mutate({ change, operator, expected, configuration: loaded.value }),
   );
   await waitInForce(options, index);
   print(options, { change, index, revision, inForce: true }, `revision ${revision} is in force`);
 }
 
-/** `plans apply|show|history`. @internal */
+/** Creates the command `plans apply|show|history`. @internal */
 export function plansCommand(): Command {
   const plans = new Command('plans').description('what each plan may use, and customers’ plans');
   addChangeOptions(plans.command('apply <plans> <customers>'))
@@ -53,13 +53,13 @@
   addOperatorOptions(plans.command('show'))
     .description('the lists in force')
     .action(async (options: OperatorOptions) => {
-      const shown = await ask(options, (client) => client.showPlans.query());
+      const shown = await callControl(options, (client) => client.showPlans.query());
       print(options, shown, JSON.stringify(shown, undefined, 2));
     });
   addOperatorOptions(plans.command('history'))
     .description('who put which revision in force, and when')
     .action(async (options: OperatorOptions) => {
-      const revisions = await ask(options, (client) => client.history.query());
+      const revisions = await callControl(options, (client) => client.history.query());
       const lines = revisions.map(
         ({ revision, at, operator, change }) =>
           `${revision} ${new Date(at).toISOString()} ${operator} ${change}`,
--- a/apps/berylwood/src/lib/replicasCommand.ts
+++ b/apps/berylwood/src/lib/replicasCommand.ts
@@ -1,5 +1,5 @@
 import { Command } from 'commander';
-import { addOperatorOptions, ask, print, type OperatorOptions } from './operatorOptions';
+import { addOperatorOptions, callControl, print, type OperatorOptions } from './operatorOptions';
 
 interface Membership {
   readonly members: readonly {
@@ -19,23 +19,26 @@
   print(options, membership, [...members, ...admitted].join('\n'));
 }
 
-/** `replicas add|remove|list`. @internal */
+/** Creates the command `replicas add|remove|list`. @internal */
 export function replicasCommand(): Command {
   const replicas = new Command('replicas').description('members of the control group');
   addOperatorOptions(replicas.command('list', { isDefault: true }))
     .description('voters, learners and admitted replicas')
     .action(async (options: OperatorOptions) =>
-      show(options, await ask(options, (client) => client.replicas.query())),
+      show(options, await callControl(options, (client) => client.replicas.query())),
     );
   addOperatorOptions(replicas.command('add <replica>'))
     .description('admit a replica, which becomes a voter once it has caught up')
     .action(async (replica: string, options: OperatorOptions) =>
-      show(options, await ask(options, (client) => client.addReplica.mutate({ replica }))),
+      show(options, await callControl(options, (client) => client.addReplica.mutate({ replica }))),
     );
   addOperatorOptions(replicas.command('remove <replica>'))
     .description('remove a replica from the group')
     .action(async (replica: string, options: OperatorOptions) =>
-      show(options, await ask(options, (client) => client.removeReplica.mutate({ replica }))),
+      show(
+        options,
+        await callControl(options, (client) => client.removeReplica.mutate({ replica })),
+      ),
     );
   return replicas;
 }
--- a/apps/berylwood/src/lib/runProcess.ts
+++ b/apps/berylwood/src/lib/runProcess.ts
@@ -5,12 +5,12 @@
 import { CommandError } from './CommandError';
 import { ExitCode } from './ExitCode';
 import { createRoles, type Reloadable } from './createRoles';
-import { hangUps } from './hangUps';
+import { sighupHandler } from './sighupHandler';
 import { readSettings } from './readSettings';
 
 const SIGNALS = ['SIGTERM', 'SIGINT'] as const;
 
-function startError(error: unknown): CommandError {
+function toCommandError(error: unknown): CommandError {
   if (error instanceof Failure && error.code.name === 'dataFolderUnusable') {
     return new CommandError(ExitCode.DataFolder, error.message);
   }
@@ -27,8 +27,8 @@
   return new CommandError(ExitCode.Fault, String(error));
 }
 
-/** Resolves on the first signal to stop; a second one ends the process at once. */
-function nextSignal(): Promise<void> {
+/** Resolves on the first stop signal. A second one exits the process immediately. */
+function waitForStopSignal(): Promise<void> {
   return new Promise((resolve) => {
     let count = 0;
     const onSignal = (): void => {
@@ -40,15 +40,17 @@
   });
 }
 
-/** Most bytes of log lines that wait for a slow reader; further lines are dropped. */
-const MAX_WAITING_LOG_BYTES = 4 * 1024 * 1024;
+/** Maximum size of log lines buffered for a slow reader; further lines are dropped. */
+const MAX_BUFFERED_LOG_BYTES = 4 * 1024 * 1024;
 
-/** Bytes of log lines written together, and the longest time that they wait. */
-const LOG_BLOCK_BYTES = 8 * 1024;
-const LOG_WAIT_MS = 200;
+/** Minimum size of a batch of log lines before it is written. */
+const LOG_BATCH_BYTES = 8 * 1024;
 
-/** Interval at which a changed settings file is looked for, in milliseconds. */
-const SETTINGS_CHECK_MS = 1000;
+/** Maximum time that log lines are buffered. */
+const LOG_FLUSH_INTERVAL_MS = 200;
+
+/** Interval at which the settings file is checked for changes. */
+const SETTINGS_POLL_MS = 1000;
 
 function createDestination(log: Settings['log'], timer: Timer): pino.DestinationStream | undefined {
   if (log.file) return pino.destination({ dest: log.file, sync: false, mkdir: true });
@@ -56,23 +58,23 @@
   const destination = pino.destination({
     dest: process.stdout.fd,
     sync: false,
-    minLength: LOG_BLOCK_BYTES,
-    maxLength: MAX_WAITING_LOG_BYTES,
+    minLength: LOG_BATCH_BYTES,
+    maxLength: MAX_BUFFERED_LOG_BYTES,
   });
-  timer.every(LOG_WAIT_MS, () => destination.flush());
+  timer.every(LOG_FLUSH_INTERVAL_MS, () => destination.flush());
   return destination;
 }
 
-/** Reads the settings again when the file changes or a hang-up signal says so. */
+/** Reloads the settings when the file changes or the process receives SIGHUP. */
 function watchSettings(
   file: string,
   reloadable: readonly Reloadable[],
   { timer, journal }: { timer: Timer; journal: Journal },
 ): void {
-  const stamp = (): number => statSync(file, { throwIfNoEntry: false })?.mtimeMs ?? 0;
-  let last = stamp();
+  const readModifiedMs = (): number => statSync(file, { throwIfNoEntry: false })?.mtimeMs ?? 0;
+  let lastModifiedMs = readModifiedMs();
   const reload = (): void => {
-    last = stamp();
+    lastModifiedMs = readModifiedMs();
     try {
       const settings = readSettings(file);
       for (const role of reloadable) role.reload(settings);
@@ -80,15 +82,15 @@
       journal.record(baseEvents.settingsRefused, { file, error: String(error) });
     }
   };
-  hangUps.onSignal = reload;
-  timer.every(SETTINGS_CHECK_MS, () => {
-    if (stamp() !== last) reload();
+  sighupHandler.onSignal = reload;
+  timer.every(SETTINGS_POLL_MS, () => {
+    if (readModifiedMs() !== lastModifiedMs) reload();
   });
 }
 
 /**
- * Runs the roles of a settings file until a signal, then shuts them down gracefully.
- * @throws CommandError when the roles can not start or fail for good.
+ * Runs the roles in a settings file until a stop signal, then shuts them down gracefully.
+ * @throws CommandError if the roles cannot start or fail permanently.
  * @internal
  */
 export async function runProcess(file: string): Promise<void> {
@@ -100,19 +102,19 @@
   const { level } = settings.log;
   const journal = new Journal({ process: name, incarnation, timer, level, destination });
   const metrics = new Metrics();
-  // The delay of the event loop is sampled by a timer, which costs a small instance too much.
+  // The event-loop delay is sampled by a timer, which uses too much CPU on a small gateway instance.
   if (!settings.gateway) metrics.collectProcess();
-  const stopped = nextSignal();
-  const surroundings = { timer, journal, metrics, incarnation };
-  const { tree, reloadable } = await createRoles(settings, surroundings);
+  const stopSignal = waitForStopSignal();
+  const context = { timer, journal, metrics, incarnation };
+  const { tree, reloadable } = await createRoles(settings, context);
   await tree.start().catch((error: unknown) => {
-    throw startError(error);
+    throw toCommandError(error);
   });
   journal.record(baseEvents.processStarted, { name });
-  if (reloadable.length > 0) watchSettings(file, reloadable, surroundings);
+  if (reloadable.length > 0) watchSettings(file, reloadable, context);
   const failed = tree.run();
-  await Promise.race([stopped, failed]).catch((error: unknown) => {
-    throw startError(error);
+  await Promise.race([stopSignal, failed]).catch((error: unknown) => {
+    throw toCommandError(error);
   });
   journal.record(baseEvents.processStopping, { name });
   timer.after(shutdownLimitMs, () => process.exit(ExitCode.Fault));
--- a/packages/base/src/index.ts
+++ b/packages/base/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * Foundations of every other package: ids, result codes, disposables, time, tasks, supervision,
- * log events and metrics.
+ * Common building blocks of all packages: ids, result codes, disposables, timers, tasks,
+ * supervision, log events and metrics.
  */
 export { InvariantError, assert, required, unreachable } from './lib/assert';
 export { asId, createId, type Id } from './lib/id';
@@ -12,7 +12,7 @@
 export { SystemTimer } from './lib/SystemTimer';
 export { VirtualTimer } from './lib/VirtualTimer';
 export { Random } from './lib/Random';
-export { Lifecycle, LifecycleTable, type StateNote } from './lib/Lifecycle';
+export { Lifecycle, LifecycleTable, type LifecycleState } from './lib/Lifecycle';
 export { Mailbox } from './lib/Mailbox';
 export { Task } from './lib/Task';
 export {
--- a/packages/base/src/lib/Lifecycle.ts
+++ b/packages/base/src/lib/Lifecycle.ts
@@ -1,20 +1,25 @@
 import { getNextSnapshot, type AnyStateMachine } from 'xstate';
 import { assert } from './assert';
 
-/** What a state of a lifecycle says to people and to callers. @public */
-export interface StateNote<Note> {
+/** One state of a lifecycle with its transitions and metadata. @public */
+export interface LifecycleState<Note> {
   readonly name: string;
+  /** The `meta` of the xstate state. */
   readonly note: Note;
   /** Next state by event. */
   readonly next: ReadonlyMap<string, string>;
   readonly isFinal: boolean;
 }
 
-/** The transitions of a flat xstate machine as a table, for many short-lived instances. @public */
+/**
+ * Transition table of an xstate machine without nested states, shared by many short-lived
+ * lifecycles.
+ * @public
+ */
 export class LifecycleTable<Note> {
   readonly initial: string;
 
-  readonly #states = new Map<string, StateNote<Note>>();
+  readonly #states = new Map<string, LifecycleState<Note>>();
 
   /**
    * @throws InvariantError if the machine has nested states.
@@ -34,25 +39,25 @@
     }
   }
 
-  get states(): StateNote<Note>[] {
+  get states(): LifecycleState<Note>[] {
     return [...this.#states.values()];
   }
 
-  find(name: string): StateNote<Note> {
+  find(name: string): LifecycleState<Note> {
     const found = this.#states.get(name);
-    assert(found, `no state ${name}`);
+    assert(found, `unknown state ${name}`);
     return found;
   }
 }
 
 /**
- * One instance of a lifecycle: it holds no more than its state, so that thousands are cheap.
+ * One run of a lifecycle. It stores only its current state, so that thousands of them are cheap.
  * @public
  */
 export class Lifecycle<Event extends string, Note> {
   readonly #table: LifecycleTable<Note>;
 
-  #state: StateNote<Note>;
+  #state: LifecycleState<Note>;
 
   constructor(table: LifecycleTable<Note>) {
     this.#table = table;
@@ -75,7 +80,7 @@
     return this.#state.next.has(event);
   }
 
-  /** Moves to the next state; false, without a change, when the state does not take the event. */
+  /** Moves to the next state. Returns false if the current state does not accept the event. */
   send(event: Event): boolean {
     const next = this.#state.next.get(event);
     if (next === undefined) return false;
--- a/packages/base/src/lib/VirtualTimer.ts
+++ b/packages/base/src/lib/VirtualTimer.ts
@@ -1,18 +1,21 @@
 import { Timer } from './Timer';
 
-interface Entry {
+interface ScheduledCallback {
   readonly at: number;
   readonly sequence: number;
   readonly callback: () => void;
 }
 
-/** A clock for tests that moves only when told, and calls back in order of time. @public */
+/**
+ * Timer for tests. Its time changes only through `advance`, which runs callbacks in order of due time.
+ * @public
+ */
 export class VirtualTimer extends Timer {
   #now = 0;
 
   #sequence = 0;
 
-  #entries: Entry[] = [];
+  #scheduled: ScheduledCallback[] = [];
 
   readonly #wallOffset: number;
 
@@ -32,38 +35,42 @@
   override after(delayMs: number, callback: () => void): Disposable {
     this.#sequence += 1;
     const entry = { at: this.#now + Math.max(0, delayMs), sequence: this.#sequence, callback };
-    this.#entries.push(entry);
+    this.#scheduled.push(entry);
     return {
       [Symbol.dispose]: () => {
-        this.#entries = this.#entries.filter((item) => item !== entry);
+        this.#scheduled = this.#scheduled.filter((item) => item !== entry);
       },
     };
   }
 
-  /** Time of the next callback, or undefined when none is armed. */
+  /** Due time of the next callback, or undefined if none is scheduled. */
   get nextAt(): number | undefined {
     return this.#next()?.at;
   }
 
-  /** Moves time forward and runs each callback that falls due on the way. */
+  /** Moves time forward and runs each callback that becomes due. */
   advance(durationMs: number): void {
     const end = this.#now + durationMs;
     for (let next = this.#next(); next && next.at <= end; next = this.#next()) {
       const due = next;
-      this.#entries = this.#entries.filter((item) => item !== due);
+      this.#scheduled = this.#scheduled.filter((item) => item !== due);
       this.#now = Math.max(this.#now, due.at);
       due.callback();
     }
     this.#now = end;
   }
 
-  #next(): Entry | undefined {
-    let best: Entry | undefined;
-    for (const entry of this.#entries) {
-      if (!best || entry.at < best.at || (entry.at === best.at && entry.sequence < best.sequence)) {
-        best = entry;
+  #next(): ScheduledCallback | undefined {
+    let earliest: ScheduledCallback | undefined;
+    for (const entry of this.#scheduled) {
+      if (
+        !earliest ||
+        entry.at < earliest.at ||
+        (entry.at === earliest.at && entry.sequence < earliest.sequence)
+      ) {
+        earliest = entry;
       }
     }
-    return best;
+    return earliest;
   }
 }
--- a/packages/timeline/src/lib/renderHtml.ts
+++ b/packages/timeline/src/lib/renderHtml.ts
@@ -6,7 +6,7 @@
 const HEADER_HEIGHT = 34;
 const LABEL_OFFSET = 12;
 
-/** Hues of the lanes, chosen to differ also for readers who confuse red and green. */
+/** Colours of the lanes, distinguishable with red-green colour blindness. */
 const COLOURS = ['#0072b2', '#d55e00', '#009e73', '#cc79a7', '#56b4e9', '#b8860b', '#444444'];
 
 const STYLE = `
@@ -53,26 +53,26 @@
   return `<div class="row" style="height:${HEADER_HEIGHT}px"><time>UTC</time><svg width="${width}" height="${HEADER_HEIGHT}">${labels.join('')}</svg></div>`;
 }
 
-function drawLanes(lanes: readonly string[], own: number): string {
+function drawLanes(lanes: readonly string[], ownLane: number): string {
   const middle = ROW_HEIGHT / 2;
   const lines = lanes.map((_, lane) => {
     const x = lane * LANE_WIDTH + LABEL_OFFSET;
     const line = `<line x1="${x}" x2="${x}" y1="0" y2="${ROW_HEIGHT}" stroke="#d8dee4" stroke-width="2"/>`;
-    if (lane !== own) return line;
+    if (lane !== ownLane) return line;
     return `${line}<circle cx="${x}" cy="${middle}" r="5" fill="${colourOf(lane)}"/>`;
   });
   return `<svg width="${lanes.length * LANE_WIDTH}" height="${ROW_HEIGHT}">${lines.join('')}</svg>`;
 }
 
 function drawRow(record: JournalRecord, lanes: readonly string[]): string {
-  const own = lanes.indexOf(record.process);
+  const ownLane = lanes.indexOf(record.process);
   const fields = escapeHtml(fieldsOf(record));
   const text = escapeHtml(`${record.process} ${record.event} ${record.name} ${fieldsOf(record)}`);
-  const lanesDrawn = drawLanes(lanes, own);
-  return `<div class="row" data-text="${text}"><time>${timeOf(record)}</time>${lanesDrawn}<div class="text"><b style="color:${colourOf(own)}">${record.event} ${escapeHtml(record.name)}</b><span>${fields}</span></div></div>`;
+  const lanesDrawn = drawLanes(lanes, ownLane);
+  return `<div class="row" data-text="${text}"><time>${timeOf(record)}</time>${lanesDrawn}<div class="text"><b style="color:${colourOf(ownLane)}">${record.event} ${escapeHtml(record.name)}</b><span>${fields}</span></div></div>`;
 }
 
-/** Draws a time line as one HTML page: a lane for each process, a row for each record. @public */
+/** Renders a timeline as an HTML page with a lane per process and a row per record. @public */
 export function renderHtml(records: readonly JournalRecord[], title: string): string {
   const lanes = [...new Set(records.map(({ process }) => process))].sort();
   const rows = records.map((record) => drawRow(record, lanes));
--- a/scripts/machines.ts
+++ b/scripts/machines.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the diagrams and tables of the attempt machines into docs/design/attempts.md, between its
- * markers. With `--check` it writes nothing and fails when the page differs from the code.
+ * Generates the diagrams and tables of the attempt state machines between the markers in
+ * docs/design/attempts.md. With `--check`, it writes nothing and fails if the page differs.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { exchangeTable } from '@berylwood/entry';
@@ -11,12 +11,12 @@
 
 const sections = {
   entry: renderMachine(exchangeTable, {
-    'The caller may be told of this attempt: not run': ({ notRun }) => String(notRun),
-    'Longest stay': ({ limitMs }) => (limitMs === undefined ? 'no limit' : `${limitMs} ms`),
+    'Proved not to have run': ({ notRun }) => String(notRun),
+    'Time limit': ({ limitMs }) => (limitMs === undefined ? 'no limit' : `${limitMs} ms`),
   }),
   sidecar: renderMachine(attemptTable, {
-    'An entry that revokes is told': ({ revoked }) => revoked,
-    'A failure says: not run': ({ notRun }) => String(notRun),
+    'Reply to a revocation': ({ revoked }) => revoked,
+    '`not_run` of a failure': ({ notRun }) => String(notRun),
   }),
 };
 
@@ -25,9 +25,9 @@
 for (const [name, text] of Object.entries(sections)) {
   const [start, end] = [`<!-- ${name} machine -->`, `<!-- end of ${name} machine -->`];
   const at = page.indexOf(start);
-  const until = page.indexOf(end);
-  if (at < 0 || until < at) throw new Error(`${PAGE} lacks the markers of ${name}`);
-  page = `${page.slice(0, at + start.length)}\n\n${text}\n\n${page.slice(until)}`;
+  const endAt = page.indexOf(end);
+  if (at < 0 || endAt < at) throw new Error(`${PAGE} has no markers for the ${name} machine`);
+  page = `${page.slice(0, at + start.length)}\n\n${text}\n\n${page.slice(endAt)}`;
 }
 if (!process.argv.includes('--check')) writeFileSync(PAGE, page);
 else if (page !== before) {
--- a/scripts/test.mjs
+++ b/scripts/test.mjs
@@ -1,39 +1,39 @@
 /**
- * Runs all tests: builds the binary, then runs the unit tests of the packages, the tests of real
- * processes and the scenarios. Arguments name test files to run alone. Tests listed in
- * KNOWN-RED.txt (first field: the exact test name) are printed and passed over.
+ * Builds the binary and runs the unit tests, the process tests and the scenarios. With arguments, runs
+ * only these test files. Failures of tests listed in KNOWN-RED.txt (`test:` field, exact name) are
+ * printed and do not fail the run.
  */
 import { spawnSync } from 'node:child_process';
 import { existsSync, mkdirSync, readFileSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
 
-/** Test files run at a time: real processes need cores of their own. */
+/** Number of test files run in parallel. It is limited because process tests need their own cores. */
 const CONCURRENCY = 4;
 
-/** Longest time of one test file, so that a hanging one gives a verdict too. */
+/** Time limit of one test file, so that a hanging test fails. */
 const TEST_LIMIT_MS = 180_000;
 
-/** Report from which the names of failed tests are read. */
+/** TAP report from which the names of failed tests are read. */
 const REPORT = 'build/tests.tap';
 
-function findTests(folder) {
-  if (!existsSync(folder)) return [];
-  return readdirSync(folder, { withFileTypes: true }).flatMap((entry) => {
+function findTests(directory) {
+  if (!existsSync(directory)) return [];
+  return readdirSync(directory, { withFileTypes: true }).flatMap((entry) => {
     if (entry.name === 'node_modules') return [];
-    const path = join(folder, entry.name);
+    const path = join(directory, entry.name);
     if (entry.isDirectory()) return findTests(path);
     return entry.name.endsWith('.test.ts') ? [path] : [];
   });
 }
 
-function knownRed() {
+function readKnownRed() {
   if (!existsSync('KNOWN-RED.txt')) return [];
   const lines = readFileSync('KNOWN-RED.txt', 'utf8').split('\n');
   return lines.filter((line) => line.startsWith('test: ')).map((line) => line.slice(6).trim());
 }
 
-/** Names of the failed tests in a TAP report, innermost only. */
-function failedTests(report) {
+/** Returns the names of failed tests in a TAP report, without the test files that contain them. */
+function parseFailedTests(report) {
   const names = [...report.matchAll(/^\s*not ok \d+ - (.*?)(?: # .*)?$/gm)].map(([, name]) => name);
   return [...new Set(names)].filter((name) => !name.endsWith('.test.ts'));
 }
@@ -51,8 +51,8 @@
   const args = ['--import', 'tsx', '--test', ...options, ...files];
   const { status } = spawnSync(process.execPath, args, { stdio: 'inherit' });
   if (status === 0) return true;
-  const red = new Set(knownRed());
-  const failed = failedTests(readFileSync(REPORT, 'utf8'));
+  const red = new Set(readKnownRed());
+  const failed = parseFailedTests(readFileSync(REPORT, 'utf8'));
   const unknown = failed.filter((name) => !red.has(name));
   for (const name of failed.filter((item) => red.has(item))) console.log(`KNOWN RED: ${name}`);
   for (const name of unknown) console.log(`FAILED: ${name}`);
@@ -65,8 +65,8 @@
   return spawnSync(process.execPath, args, { stdio: 'inherit' }).status === 0;
 }
 
-const named = process.argv.slice(2);
-if (named.length > 0) process.exit(runUnitTests(named) ? 0 : 1);
+const testFiles = process.argv.slice(2);
+if (testFiles.length > 0) process.exit(runUnitTests(testFiles) ? 0 : 1);
 const build = spawnSync(process.execPath, ['scripts/build.mjs'], { stdio: 'inherit' });
 if (build.status !== 0) process.exit(1);
 const unitTestsPass = runUnitTests([
