--- a/packages/control/src/lib/OperatorService.ts
+++ b/packages/control/src/lib/OperatorService.ts
@@ -7,7 +7,7 @@
   type Replica,
 } from '@berylwood/consensus';
 import {
-  cutBackup,
+  splitBackup,
   type ClosedWindow,
   type Command,
   type DoneOutcome,
@@ -174,7 +174,7 @@
   async restore(backup: Uint8Array): Done {
     const { timer, leadership } = this.#options;
     let last: Result<DoneOutcome, Failure> = fail(controlCodes.notLeader, 'no part was restored');
-    for (const part of cutBackup(backup, timer.wall())) {
+    for (const part of splitBackup(backup, timer.wall())) {
       last = await this.#change(part);
       if (last.isErr()) return last;
     }
--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -15,6 +15,6 @@
 export { Ledger, type LedgerOptions } from './lib/Ledger';
 export type { Order } from './lib/Orders';
 export type { OrderStep } from './lib/orderLife';
-export { cutBackup } from './lib/Restoration';
+export { splitBackup } from './lib/Restoration';
 export { QUARANTINE_CRASHES, SUSPICION_MS } from './lib/Suspicions';
 export type { ClosedWindow, UsageLine } from './lib/UsageWindows';
--- a/packages/ledger/src/lib/Claims.ts
+++ b/packages/ledger/src/lib/Claims.ts
@@ -105,10 +105,10 @@
     if (claim.settled) return ok(undefined);
     const { bodyBytes, bytes } = this.#limits;
     const fits = body.byteLength <= bodyBytes && this.#bytes + body.byteLength <= bytes;
-    const kept = fits
+    const retained = fits
       ? { headers, body: Uint8Array.from(body) }
       : { headers: { ...headers, ...OMITTED_HEADER }, body: new Uint8Array() };
-    this.#put({ ...claim, at: now, settled: { type: 'settled', outcome, status, ...kept } });
+    this.#put({ ...claim, at: now, settled: { type: 'settled', outcome, status, ...retained } });
     return ok(undefined);
   }
 
--- a/packages/ledger/src/lib/Ledger.test.ts
+++ b/packages/ledger/src/lib/Ledger.test.ts
@@ -12,7 +12,7 @@
 import { ledgerCodes } from './codes';
 import { decodeOutcome, encodeCommand, type Command, type CommandOutcome } from './Command';
 import { Ledger } from './Ledger';
-import { cutBackup } from './Restoration';
+import { splitBackup } from './Restoration';
 
 const FIXTURES = 'packages/ledger/fixtures';
 
@@ -140,7 +140,7 @@
   const { ledger, apply, configure } = createHarness();
   apply({ type: 'fence', at: 1, replica: 'a' });
   configure(0);
-  const parts = cutBackup(ledger.snapshot(), 5);
+  const parts = splitBackup(ledger.snapshot(), 5);
   assertRefused(apply(parts[0] as Command), ledgerCodes.restoreRefused);
   const fresh = createHarness();
   fresh.apply({ type: 'fence', at: 1, replica: 'a' });
--- a/packages/ledger/src/lib/Ledger.ts
+++ b/packages/ledger/src/lib/Ledger.ts
@@ -32,9 +32,9 @@
  * By how much a restore moves on what must never repeat: nodes and the platform may know numbers
  * that were given after the backup was taken.
  */
-const RESTORE_STEP = { index: 1_000_000_000, revision: 1_000_000, fence: 1_000_000 } as const;
+const RESTORE_INCREMENT = { index: 1_000_000_000, revision: 1_000_000, fence: 1_000_000 } as const;
 
-function refuse(code: Code, message = code.meaning): CommandOutcome {
+function reject(code: Code, message = code.meaning): CommandOutcome {
   return { type: 'refused', code: code.number, message };
 }
 
@@ -133,12 +133,12 @@
 
   #executeOnce(index: number, change: ChangeId, command: Command): CommandOutcome {
     const digest = digestCommand(command);
-    const kept = this.#outcomes.find(change);
-    if (kept) {
-      const isSame = kept.digest === undefined || kept.digest === digest;
-      return isSame ? kept.outcome : refuse(ledgerCodes.changeReused);
+    const previous = this.#outcomes.find(change);
+    if (previous) {
+      const isSame = previous.digest === undefined || previous.digest === digest;
+      return isSame ? previous.outcome : reject(ledgerCodes.changeReused);
     }
-    if (this.#outcomes.isForgotten(change)) return refuse(ledgerCodes.changeForgotten);
+    if (this.#outcomes.isPastRetention(change)) return reject(ledgerCodes.changeForgotten);
     const outcome = this.#execute(index, command);
     this.#outcomes.add(change, { index, digest, outcome });
     return outcome;
@@ -167,7 +167,7 @@
         this.windows.close(command.endsAt);
         return this.#done(index, []);
       case 'windowReported':
-        return this.#ended(index, this.windows.report(command.window, command.fence));
+        return this.#toOutcome(index, this.windows.report(command.window, command.fence));
       case 'restorePart':
         return this.#restorePart(index, command);
       default:
@@ -178,13 +178,13 @@
   #configure(index: number, command: CommandOf<'configure'>): CommandOutcome {
     const { configuration, expected, operator, change } = command;
     const { latest } = this.history;
-    const present = this.feed.revision;
-    if (expected !== present) {
+    const current = this.feed.revision;
+    if (expected !== current) {
       const winner = latest ? `, put in force by ${latest.operator} with ${latest.change}` : '';
-      const message = `made against revision ${expected}, the present one is ${present}${winner}`;
-      return refuse(ledgerCodes.revisionConflict, message);
+      const message = `made against revision ${expected}, the present one is ${current}${winner}`;
+      return reject(ledgerCodes.revisionConflict, message);
     }
-    const revision = present + 1;
+    const revision = current + 1;
     this.history.add({ revision, operator, at: this.#clock, change, index });
     return this.#done(index, [{ type: 'configured', revision, configuration }]);
   }
@@ -192,17 +192,17 @@
   #giveKey(index: number, { record }: CommandOf<'giveKey'>): CommandOutcome {
     if (!(record.workspace in this.feed.configuration.customers)) {
       const message = `no workspace "${record.workspace}"`;
-      return refuse(ledgerCodes.workspaceUnknown, message);
+      return reject(ledgerCodes.workspaceUnknown, message);
     }
     if (this.feed.hasKey(record.key) || this.feed.findKey(record.hash)) {
-      return refuse(ledgerCodes.keyTaken);
+      return reject(ledgerCodes.keyTaken);
     }
     return { ...this.#done(index, [{ type: 'keyGiven', key: record }]), key: record };
   }
 
   #withdrawKey(index: number, key: KeyId): CommandOutcome {
     if (!this.feed.hasKey(key)) {
-      return refuse(ledgerCodes.keyUnknown, `no key "${key}"`);
+      return reject(ledgerCodes.keyUnknown, `no key "${key}"`);
     }
     return this.#done(index, [{ type: 'keyWithdrawn', key }]);
   }
@@ -224,11 +224,11 @@
 
   #executeClaim(index: number, command: CommandOf<'claim' | 'settle'>): CommandOutcome {
     if (command.type === 'settle') {
-      return this.#ended(index, this.claims.settle(command, this.#clock));
+      return this.#toOutcome(index, this.claims.settle(command, this.#clock));
     }
     return this.claims.claim(command, this.#clock).match<CommandOutcome>(
       (answer) => ({ type: 'claimed', answer }),
-      (code) => refuse(code),
+      (code) => reject(code),
     );
   }
 
@@ -244,7 +244,7 @@
     const crash = command.crash ?? command.incarnation;
     return this.suspicions
       .suspect(command.fingerprints, crash, this.#clock)
-      .match(publish, (code) => refuse(code));
+      .match(publish, (code) => reject(code));
   }
 
   #executeOrder(
@@ -254,39 +254,39 @@
     const { order } = command;
     switch (command.type) {
       case 'intendOrder':
-        return this.#ended(index, this.orders.intend(order, command.action, this.#clock));
+        return this.#toOutcome(index, this.orders.intend(order, command.action, this.#clock));
       case 'sendOrder': {
         const { fence } = command;
-        if (fence !== this.feed.fence) return refuse(ledgerCodes.fenceStale);
-        return this.#ended(index, this.orders.send(order, fence, this.#clock));
+        if (fence !== this.feed.fence) return reject(ledgerCodes.fenceStale);
+        return this.#toOutcome(index, this.orders.send(order, fence, this.#clock));
       }
       case 'answerOrder': {
         const { accepted, message } = command;
-        return this.#ended(index, this.orders.answer(order, accepted, message, this.#clock));
+        return this.#toOutcome(index, this.orders.answer(order, accepted, message, this.#clock));
       }
       case 'loseOrder':
-        return this.#ended(index, this.orders.lose(order, command.reason, this.#clock));
+        return this.#toOutcome(index, this.orders.lose(order, command.reason, this.#clock));
       default:
         return unreachable(command);
     }
   }
 
   #restorePart(index: number, command: CommandOf<'restorePart'>): CommandOutcome {
-    const isNew = this.feed.revision === 0 && this.feed.keys.length === 0;
-    if (!isNew || !this.#restoration.add(command)) {
-      return refuse(ledgerCodes.restoreRefused);
+    const isEmpty = this.feed.revision === 0 && this.feed.keys.length === 0;
+    if (!isEmpty || !this.#restoration.add(command)) {
+      return reject(ledgerCodes.restoreRefused);
     }
     if (command.part < command.parts) return this.#done(index, []);
-    const snapshot = decodeSnapshot(this.#restoration.take());
+    const snapshot = decodeSnapshot(this.#restoration.assemble());
     const { feed } = snapshot;
-    const restoredIndex = Math.max(feed.index, index) + RESTORE_STEP.index;
+    const restoredIndex = Math.max(feed.index, index) + RESTORE_INCREMENT.index;
     this.#offset += restoredIndex - index;
     this.#index = restoredIndex;
     this.#load(snapshot, {
       ...feed,
       index: restoredIndex,
-      revision: feed.revision + RESTORE_STEP.revision,
-      fence: Math.max(feed.fence, this.feed.fence) + RESTORE_STEP.fence,
+      revision: feed.revision + RESTORE_INCREMENT.revision,
+      fence: Math.max(feed.fence, this.feed.fence) + RESTORE_INCREMENT.fence,
     });
     this.onRestore();
     return this.#done(restoredIndex, []);
@@ -304,10 +304,10 @@
     this.suspicions.restore(snapshot.suspicions);
   }
 
-  #ended(index: number, result: Result<void, Code>): CommandOutcome {
+  #toOutcome(index: number, result: Result<void, Code>): CommandOutcome {
     return result.match(
       () => this.#done(index, []),
-      (code) => refuse(code),
+      (code) => reject(code),
     );
   }
 
--- a/packages/ledger/src/lib/Orders.ts
+++ b/packages/ledger/src/lib/Orders.ts
@@ -45,8 +45,8 @@
   intend(order: OrderId, action: OrderAction, now: number): Result<void, Code> {
     if (this.#orders.has(order)) return ok(undefined);
     if (this.open.length >= MAX_OPEN) return err(ledgerCodes.ordersFull);
-    const life = { step: 'intended', intendedAt: now, at: now, fence: 0, sends: 0 } as const;
-    this.#orders.set(order, { order, action, ...life });
+    const initial = { step: 'intended', intendedAt: now, at: now, fence: 0, sends: 0 } as const;
+    this.#orders.set(order, { order, action, ...initial });
     return ok(undefined);
   }
 
@@ -63,7 +63,7 @@
   answer(order: OrderId, accepted: boolean, message: string, now: number): Result<void, Code> {
     if (this.#orders.get(order)?.step === 'answered') return ok(undefined);
     const answered = this.#step(order, { type: 'answer' }, { accepted, message, at: now });
-    this.#forgetAnswered();
+    this.#pruneAnswered();
     return answered;
   }
 
@@ -80,7 +80,7 @@
     return ok(undefined);
   }
 
-  #forgetAnswered(): void {
+  #pruneAnswered(): void {
     const answered = this.all.filter(({ step }) => step === 'answered');
     const surplus = answered.slice(0, Math.max(0, answered.length - MAX_ANSWERED));
     for (const { order } of surplus) this.#orders.delete(order);
--- a/packages/ledger/src/lib/Outcomes.ts
+++ b/packages/ledger/src/lib/Outcomes.ts
@@ -5,7 +5,7 @@
 const DEFAULT_CAPACITY = 50_000;
 
 /** An outcome with what identifies the command that had it. */
-interface Kept {
+interface StoredOutcome {
   /** Feed index at which the change was executed. */
   readonly index: number;
   /** Missing in outcomes that version 1 kept. */
@@ -15,7 +15,7 @@
 
 export interface OutcomesState {
   readonly horizon: number;
-  readonly outcomes: readonly [ChangeId, Kept][];
+  readonly outcomes: readonly [ChangeId, StoredOutcome][];
 }
 
 /**
@@ -28,7 +28,7 @@
 export class Outcomes {
   #horizon = 0;
 
-  readonly #kept = new Map<ChangeId, Kept>();
+  readonly #byChange = new Map<ChangeId, StoredOutcome>();
 
   readonly #capacity: number;
 
@@ -36,31 +36,31 @@
     this.#capacity = capacity;
   }
 
-  find(change: ChangeId): Kept | undefined {
-    return this.#kept.get(change);
+  find(change: ChangeId): StoredOutcome | undefined {
+    return this.#byChange.get(change);
   }
 
   /** Whether the change may have been executed before the outcomes that are kept. */
-  isForgotten(change: ChangeId): boolean {
-    return seenIndexOf(change) < this.#horizon && !this.#kept.has(change);
+  isPastRetention(change: ChangeId): boolean {
+    return seenIndexOf(change) < this.#horizon && !this.#byChange.has(change);
   }
 
-  add(change: ChangeId, kept: Kept): void {
-    this.#kept.set(change, kept);
-    if (this.#kept.size <= this.#capacity) return;
-    const [oldest] = this.#kept;
+  add(change: ChangeId, added: StoredOutcome): void {
+    this.#byChange.set(change, added);
+    if (this.#byChange.size <= this.#capacity) return;
+    const [oldest] = this.#byChange;
     if (!oldest) return;
-    this.#kept.delete(oldest[0]);
+    this.#byChange.delete(oldest[0]);
     this.#horizon = Math.max(this.#horizon, oldest[1].index);
   }
 
   toState(): OutcomesState {
-    return { horizon: this.#horizon, outcomes: [...this.#kept] };
+    return { horizon: this.#horizon, outcomes: [...this.#byChange] };
   }
 
   restore(state: OutcomesState): void {
     this.#horizon = state.horizon;
-    this.#kept.clear();
-    for (const [change, kept] of state.outcomes) this.#kept.set(change, kept);
+    this.#byChange.clear();
+    for (const [change, storedOutcome] of state.outcomes) this.#byChange.set(change, storedOutcome);
   }
 }
--- a/packages/ledger/src/lib/Restoration.ts
+++ b/packages/ledger/src/lib/Restoration.ts
@@ -8,7 +8,7 @@
 const PART_BYTES = 256 * 1024;
 
 /** Cuts a backup into commands for a new group. @public */
-export function cutBackup(backup: Uint8Array, at: number): CommandOf<'restorePart'>[] {
+export function splitBackup(backup: Uint8Array, at: number): CommandOf<'restorePart'>[] {
   const parts = Math.max(1, Math.ceil(backup.byteLength / PART_BYTES));
   return Array.from({ length: parts }, (_, index) => ({
     type: 'restorePart',
@@ -32,7 +32,7 @@
   }
 
   /** The whole backup; the parts are forgotten. */
-  take(): Uint8Array {
+  assemble(): Uint8Array {
     const whole = Buffer.concat(this.#parts);
     this.#parts = [];
     return whole;
--- a/packages/ledger/src/lib/Suspicions.ts
+++ b/packages/ledger/src/lib/Suspicions.ts
@@ -21,7 +21,7 @@
 
 export type SuspicionsState = readonly Suspect[];
 
-function withoutWitnesses({ fingerprint, crashes, untilMs }: Suspect): Suspicion {
+function toSuspicion({ fingerprint, crashes, untilMs }: Suspect): Suspicion {
   return { fingerprint, crashes, untilMs };
 }
 
@@ -32,11 +32,11 @@
   /** Counts a crash against the fingerprints; returns what has changed. */
   suspect(fingerprints: readonly string[], crash: string, now: number): Result<Suspicion[], Code> {
     const changed = this.#expire(now);
-    const fresh = fingerprints.filter((fingerprint) => !this.#suspects.has(fingerprint));
-    if (this.#suspects.size + fresh.length > CAPACITY) return err(ledgerCodes.suspectsFull);
+    const added = fingerprints.filter((fingerprint) => !this.#suspects.has(fingerprint));
+    if (this.#suspects.size + added.length > CAPACITY) return err(ledgerCodes.suspectsFull);
     for (const fingerprint of fingerprints) {
       const suspect = this.#count(fingerprint, crash, now);
-      if (suspect) changed.push(withoutWitnesses(suspect));
+      if (suspect) changed.push(toSuspicion(suspect));
     }
     return ok(changed);
   }
--- a/packages/ledger/src/lib/UsageMarks.ts
+++ b/packages/ledger/src/lib/UsageMarks.ts
@@ -23,7 +23,7 @@
 
 export type UsageMarksState = readonly [IncarnationId, Mark][];
 
-interface Counted {
+interface MutableMark {
   mark: number;
   readonly beyond: Set<number>;
   at: number;
@@ -35,15 +35,15 @@
  * @internal
  */
 export class UsageMarks {
-  readonly #runs = new Map<IncarnationId, Counted>();
+  readonly #marks = new Map<IncarnationId, MutableMark>();
 
   markOf(incarnation: IncarnationId): number {
-    return this.#runs.get(incarnation)?.mark ?? 0;
+    return this.#marks.get(incarnation)?.mark ?? 0;
   }
 
   /** Whether the run is remembered. */
   isKnown(incarnation: IncarnationId): boolean {
-    return this.#runs.has(incarnation);
+    return this.#marks.has(incarnation);
   }
 
   /** Counts a record; false when it was counted before. */
@@ -56,28 +56,28 @@
   }
 
   toState(): [IncarnationId, Mark][] {
-    return [...this.#runs].map(([incarnation, { mark, beyond, at }]) => [
+    return [...this.#marks].map(([incarnation, { mark, beyond, at }]) => [
       incarnation,
       { mark, beyond: [...beyond], at },
     ]);
   }
 
   restore(state: UsageMarksState): void {
-    this.#runs.clear();
+    this.#marks.clear();
     for (const [incarnation, { mark, beyond, at }] of state) {
-      this.#runs.set(incarnation, { mark, beyond: new Set(beyond), at });
+      this.#marks.set(incarnation, { mark, beyond: new Set(beyond), at });
     }
   }
 
   /** The run with its time brought up; runs stand in the order of their times. */
-  #touch(incarnation: IncarnationId, now: number): Counted {
-    const run = this.#runs.get(incarnation) ?? { mark: 0, beyond: new Set<number>(), at: now };
+  #touch(incarnation: IncarnationId, now: number): MutableMark {
+    const run = this.#marks.get(incarnation) ?? { mark: 0, beyond: new Set<number>(), at: now };
     run.at = now;
-    this.#runs.delete(incarnation);
-    this.#runs.set(incarnation, run);
-    for (const [oldest, { at }] of this.#runs) {
+    this.#marks.delete(incarnation);
+    this.#marks.set(incarnation, run);
+    for (const [oldest, { at }] of this.#marks) {
       if (now - at <= MARK_LIFETIME_MS) break;
-      this.#runs.delete(oldest);
+      this.#marks.delete(oldest);
     }
     return run;
   }
--- a/packages/ledger/src/lib/UsageWindows.test.ts
+++ b/packages/ledger/src/lib/UsageWindows.test.ts
@@ -25,7 +25,7 @@
   };
 }
 
-function linesOf(windows: UsageWindows, index: number): UsageLine[] {
+function reportedLines(windows: UsageWindows, index: number): UsageLine[] {
   const { report } = windows.closed[index] ?? { report: '{"lines":[]}' };
   return (JSON.parse(report) as { lines: UsageLine[] }).lines;
 }
@@ -39,7 +39,7 @@
     windows.closed.map(({ window }) => window),
     [windowAt(10_000), windowAt(11_000)],
   );
-  assert.equal(linesOf(windows, 0)[0]?.work.outputTokens, 1);
+  assert.equal(reportedLines(windows, 0)[0]?.work.outputTokens, 1);
 });
 
 test('a frozen window keeps its bytes; late usage is an adjustment that names its origin', () => {
@@ -50,7 +50,7 @@
   windows.add(recordOf(5), 10_600);
   windows.close(12_000);
   assert.equal(windows.closed[0]?.report, report);
-  const [late] = linesOf(windows, 1);
+  const [late] = reportedLines(windows, 1);
   assert.equal(late?.origin, windowAt(10_000));
   assert.equal(late?.work.outputTokens, 5);
 });
--- a/packages/ledger/src/lib/UsageWindows.ts
+++ b/packages/ledger/src/lib/UsageWindows.ts
@@ -37,7 +37,7 @@
 const DEFAULT_WINDOW_MS = 60_000;
 
 /** Reported windows that are kept for operators. */
-const KEPT_REPORTED = 100;
+const MAX_REPORTED = 100;
 
 /** Windows with usage that may be open or unreported; beyond them the latest window grows. */
 const MAX_WINDOWS = 1000;
@@ -68,7 +68,7 @@
   bucket.set(key, total ?? line);
 }
 
-function linesOf(bucket: Bucket): UsageLine[] {
+function sortedLines(bucket: Bucket): UsageLine[] {
   return [...bucket].sort(([a], [b]) => (a < b ? -1 : 1)).map(([, line]) => line);
 }
 
@@ -105,8 +105,9 @@
   /** Lines of all open windows, added up. */
   get openLines(): UsageLine[] {
     const sum: Bucket = new Map();
-    for (const bucket of this.#open.values()) for (const line of linesOf(bucket)) addTo(sum, line);
-    return linesOf(sum);
+    for (const bucket of this.#open.values())
+      for (const line of sortedLines(bucket)) addTo(sum, line);
+    return sortedLines(sum);
   }
 
   get closed(): readonly ClosedWindow[] {
@@ -144,7 +145,7 @@
     const found = this.#closed[index];
     if (found?.state !== 'frozen') return err(ledgerCodes.windowNotFrozen);
     this.#closed[index] = { ...found, state: 'reported', fence };
-    this.#forgetReported();
+    this.#pruneReported();
     return ok(undefined);
   }
 
@@ -152,7 +153,7 @@
     return {
       windowMs: this.#windowMs,
       frozenUntil: this.#frozenUntil,
-      open: [...this.#open].map(([startsAt, bucket]) => [startsAt, linesOf(bucket)]),
+      open: [...this.#open].map(([startsAt, bucket]) => [startsAt, sortedLines(bucket)]),
       closed: this.#closed,
     };
   }
@@ -190,13 +191,13 @@
     this.#open.delete(startsAt);
     const window = windowAt(startsAt);
     const endsAt = startsAt + this.windowMs;
-    const report = JSON.stringify({ window, startsAt, endsAt, lines: linesOf(bucket) });
+    const report = JSON.stringify({ window, startsAt, endsAt, lines: sortedLines(bucket) });
     this.#closed.push({ window, startsAt, endsAt, state: 'frozen', report });
   }
 
-  #forgetReported(): void {
+  #pruneReported(): void {
     const reported = this.#closed.filter(({ state }) => state === 'reported');
-    const surplus = new Set(reported.slice(0, Math.max(0, reported.length - KEPT_REPORTED)));
+    const surplus = new Set(reported.slice(0, Math.max(0, reported.length - MAX_REPORTED)));
     if (surplus.size > 0) this.#closed = this.#closed.filter((item) => !surplus.has(item));
   }
 }
--- a/packages/ledger/src/lib/digestCommand.ts
+++ b/packages/ledger/src/lib/digestCommand.ts
@@ -8,6 +8,6 @@
  */
 export function digestCommand(command: Command): string {
   const { at, ...rest } = command;
-  const asked = rest.type === 'giveKey' ? { type: rest.type, of: rest.record.workspace } : rest;
-  return createHash('sha256').update(JSON.stringify(asked)).digest('base64url').slice(0, 16);
+  const payload = rest.type === 'giveKey' ? { type: rest.type, of: rest.record.workspace } : rest;
+  return createHash('sha256').update(JSON.stringify(payload)).digest('base64url').slice(0, 16);
 }
--- a/packages/ledger/src/lib/migrations.ts
+++ b/packages/ledger/src/lib/migrations.ts
@@ -1,13 +1,13 @@
 import { assert } from '@berylwood/base';
 
 /** A record of some version, before it is validated. */
-type Stored = Record<string, unknown>;
+type StoredRecord = Record<string, unknown>;
 
 /** One step from a version to the next. */
-type Step = (record: Stored) => Stored;
+type Migration = (record: StoredRecord) => StoredRecord;
 
 /** Version 1 wrote the command bare; from version 2 on it stands in an envelope. */
-function wrapCommand(record: Stored): Stored {
+function wrapCommand(record: StoredRecord): StoredRecord {
   return { version: 2, command: record };
 }
 
@@ -17,7 +17,10 @@
 }
 
 /** Version 1 kept outcomes without the index of their execution. */
-function keepWithIndex([change, outcome]: [string, Stored], index: number): [string, Stored] {
+function addOutcomeIndex(
+  [change, outcome]: [string, StoredRecord],
+  index: number,
+): [string, StoredRecord] {
   return [change, { index, outcome: { index, ...outcome } }];
 }
 
@@ -25,17 +28,17 @@
  * Version 1 counted usage without windows: its lines become those of one window that starts at 0,
  * and its marks are taken over with no sequence counted beyond them.
  */
-function splitUsageIntoWindows(record: Stored): Stored {
+function splitUsageIntoWindows(record: StoredRecord): StoredRecord {
   const { lines, marks } = record.usage as VersionOneUsage;
   const { index } = record.feed as { index: number };
-  const outcomes = record.outcomes as [string, Stored][];
+  const outcomes = record.outcomes as [string, StoredRecord][];
   return {
     version: 2,
     clock: 0,
     index,
     offset: 0,
     feed: record.feed,
-    changes: { horizon: 0, outcomes: outcomes.map((kept) => keepWithIndex(kept, index)) },
+    changes: { horizon: 0, outcomes: outcomes.map((kept) => addOutcomeIndex(kept, index)) },
     history: [],
     claims: [],
     marks: marks.map(([run, mark]) => [run, { mark, beyond: [], at: 0 }]),
@@ -50,15 +53,19 @@
   };
 }
 
-const commandSteps: Record<number, Step> = { 1: wrapCommand };
+const commandMigrations: Record<number, Migration> = { 1: wrapCommand };
 
-const snapshotSteps: Record<number, Step> = { 1: splitUsageIntoWindows };
+const snapshotMigrations: Record<number, Migration> = { 1: splitUsageIntoWindows };
 
-function versionOf(record: Stored): number {
+function versionOf(record: StoredRecord): number {
   return typeof record.version === 'number' ? record.version : 1;
 }
 
-function migrate(record: Stored, version: number, steps: Record<number, Step>): Stored {
+function migrate(
+  record: StoredRecord,
+  version: number,
+  steps: Record<number, Migration>,
+): StoredRecord {
   let current = record;
   assert(versionOf(current) <= version, `version ${versionOf(current)} is newer than ${version}`);
   while (versionOf(current) < version) {
@@ -71,10 +78,10 @@
 
 /** Brings a stored command to the version and takes it out of its envelope. @internal */
 export function migrateCommand(record: unknown, version: number): unknown {
-  return migrate(record as Stored, version, commandSteps).command;
+  return migrate(record as StoredRecord, version, commandMigrations).command;
 }
 
 /** Brings a stored snapshot to the version. @internal */
 export function migrateSnapshot(record: unknown, version: number): unknown {
-  return migrate(record as Stored, version, snapshotSteps);
+  return migrate(record as StoredRecord, version, snapshotMigrations);
 }
--- a/packages/schema/src/lib/Configuration.ts
+++ b/packages/schema/src/lib/Configuration.ts
@@ -6,7 +6,7 @@
   .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'expected lower-case letters, digits and hyphens');
 
 /** Lowest tier number is the most important; the plan's size has 7 tiers. */
-const LAST_TIER = 9;
+const MAX_TIER = 9;
 
 /** A request class: latency targets and guarantees. @public */
 export const requestClassSchema = z.strictObject({
@@ -27,7 +27,7 @@
   /** Weight of a workspace of this plan among those of the same tier. */
   share: z.number().positive().default(1),
   /** Request classes the plan may use, each with its tier; tier 1 is the highest. */
-  classes: z.record(nameSchema, z.number().int().min(1).max(LAST_TIER)),
+  classes: z.record(nameSchema, z.number().int().min(1).max(MAX_TIER)),
   /** Class of a request that names none. */
   defaultClass: nameSchema,
   models: z.array(nameSchema).default([]),
--- a/packages/schema/src/lib/Settings.ts
+++ b/packages/schema/src/lib/Settings.ts
@@ -118,7 +118,7 @@
 });
 
 /** Share of events that a fault hits, from 0 to 1. */
-const shareSchema = z.number().min(0).max(1);
+const fractionSchema = z.number().min(0).max(1);
 
 const standInSchema = z.strictObject({
   kind: z.enum(['engine', 'service', 'platform']),
@@ -136,7 +136,7 @@
   cacheBlocks: z.number().int().nonnegative().optional(),
   /** Time until a cache event can be read, in milliseconds. */
   cacheEventDelayMs: z.number().nonnegative().optional(),
-  cacheEventLoss: shareSchema.optional(),
+  cacheEventLoss: fractionSchema.optional(),
   /** Age of the figures in load reports, in milliseconds. */
   loadLagMs: z.number().nonnegative().optional(),
   /** Whether an engine or the platform refuses orders with an old fencing number. */
@@ -147,8 +147,8 @@
   delayMs: z.number().nonnegative().optional(),
   /** Longest delay of the platform's answers, in milliseconds. */
   answerDelayMs: z.number().nonnegative().optional(),
-  answerLoss: shareSchema.optional(),
-  orderRepeat: shareSchema.optional(),
+  answerLoss: fractionSchema.optional(),
+  orderRepeat: fractionSchema.optional(),
   /** Lag of the platform's list of instances, in milliseconds. */
   listLagMs: z.number().nonnegative().optional(),
   /** Rate of the platform's weight store, in bytes a second. */
--- a/packages/schema/src/lib/locate.ts
+++ b/packages/schema/src/lib/locate.ts
@@ -30,18 +30,18 @@
   const parts = splitPath(path);
   let best = { depth: 0, line: 0 };
   let prefix: string[] = [];
-  const seen = new Map<string, number>();
+  const arrayIndexes = new Map<string, number>();
   let matches = true;
   text.split('\n').forEach((line, number) => {
     const header = matchHeader(line);
     if (header) {
       prefix = header.keys;
       const name = prefix.join('.');
-      if (header.isArray) seen.set(name, (seen.get(name) ?? -1) + 1);
+      if (header.isArray) arrayIndexes.set(name, (arrayIndexes.get(name) ?? -1) + 1);
       matches = prefix.every((key, depth) => {
-        const ancestor = seen.get(prefix.slice(0, depth + 1).join('.'));
+        const arrayIndex = arrayIndexes.get(prefix.slice(0, depth + 1).join('.'));
         const part = parts[depth];
-        return part?.key === key && (ancestor === undefined || ancestor === part.index);
+        return part?.key === key && (arrayIndex === undefined || arrayIndex === part.index);
       });
       if (matches && prefix.length > best.depth) best = { depth: prefix.length, line: number + 1 };
       return;
