--- a/packages/ledger/src/index.ts
+++ b/packages/ledger/src/index.ts
@@ -1,4 +1,4 @@
-/** State machine on the replicated log: keys, configuration, claims, orders and usage. */
+/** State machine of the replicated log: keys, configuration, claims, orders and usage. */
 export {
   commandSchema,
   decodeCommand,
--- a/packages/ledger/src/lib/Command.ts
+++ b/packages/ledger/src/lib/Command.ts
@@ -30,9 +30,9 @@
     type: z.literal('configure'),
     change,
     at,
-    /** Who made the change, for the history. */
+    /** Operator who made the change, recorded in the history. */
     operator: z.string(),
-    /** Revision that the change was made against. */
+    /** Revision on which the change is based. */
     expected: z.number().int(),
     configuration: configurationSchema,
   }),
@@ -43,16 +43,16 @@
   settleCall.extend({ at }),
   suspectCall.extend({ at }),
   clearCall.extend({ at }),
-  /** A new leader takes the next fencing number. The first one fixes the length of windows. */
+  /** A new leader takes the next fencing number. The first command sets the window length. */
   z.object({
     type: z.literal('fence'),
     at,
     replica: z.string(),
     windowMs: z.number().int().positive().optional(),
   }),
-  /** Freezes the figures of all windows that end at or before a time. */
+  /** Freezes all usage windows that end at or before `endsAt`. */
   z.object({ type: z.literal('closeWindows'), at, endsAt: z.number() }),
-  /** The platform has taken the report of a window. */
+  /** The platform has accepted the report of a usage window. */
   z.object({ type: z.literal('windowReported'), at, window: idSchema<WindowId>(), fence }),
   z.object({ type: z.literal('intendOrder'), change, at, order, action: orderActionSchema }),
   z.object({ type: z.literal('sendOrder'), at, order, fence }),
@@ -64,7 +64,7 @@
     message: z.string(),
   }),
   z.object({ type: z.literal('loseOrder'), at, order, reason: z.string() }),
-  /** One part of a backup, for a new group. */
+  /** One part of a backup that is restored into a new group. */
   z.object({
     type: z.literal('restorePart'),
     at,
@@ -82,7 +82,7 @@
 const outcomeSchema = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('done'),
-    /** Feed index at which the command took effect; a resend shows the first one. */
+    /** Feed index after the command; a resend returns that of the first execution. */
     index: z.number(),
     revision: z.number(),
     fence: z.number(),
@@ -90,17 +90,17 @@
     key: keyRecordSchema.optional(),
   }),
   z.object({ type: z.literal('claimed'), answer: claimAnswerSchema }),
-  /** Sequence up to which all usage of the sidecar's run is counted. */
+  /** `mark`: all usage of the sidecar's incarnation up to this sequence number is counted. */
   z.object({
     type: z.literal('metered'),
     mark: z.number(),
-    /** Records that were not counted as their run is no longer remembered. */
+    /** Records not counted because the mark of their incarnation is no longer retained. */
     dropped: z.number(),
   }),
   z.object({ type: z.literal('refused'), code: z.number(), message: z.string() }),
 ]);
 
-/** What a command came to; a refusal names a numbered code. @public */
+/** Outcome of a command; a rejected one has the number of a result code. @public */
 export type CommandOutcome = z.output<typeof outcomeSchema>;
 
 /** @public */
--- a/packages/ledger/src/lib/ConfigurationHistory.ts
+++ b/packages/ledger/src/lib/ConfigurationHistory.ts
@@ -1,19 +1,19 @@
 import type { ChangeId } from '@berylwood/schema';
 
-/** Who put a revision in force, and when. @public */
+/** Record of a configuration revision: its operator, time and change id. @public */
 export interface Revision {
   readonly revision: number;
   readonly operator: string;
-  /** Wall-clock time of the leader, in milliseconds. */
+  /** Ledger clock when the revision took effect, in wall-clock milliseconds. */
   readonly at: number;
   readonly change: ChangeId;
-  /** Feed index at which it was accepted. */
+  /** Feed index at which the revision was accepted. */
   readonly index: number;
 }
 
 const CAPACITY = 2000;
 
-/** The latest revisions of the configuration, newest last. @internal */
+/** The most recent configuration revisions, newest last. @internal */
 export class ConfigurationHistory {
   #revisions: Revision[] = [];
 
--- a/packages/ledger/src/lib/Ledger.ts
+++ b/packages/ledger/src/lib/Ledger.ts
@@ -24,13 +24,13 @@
 
 /** Options of the ledger. @public */
 export interface LedgerOptions {
-  /** Outcomes of changes kept for resends; 50,000 by default. */
+  /** Number of outcomes kept to answer resent changes; 50,000 by default. */
   readonly keptOutcomes?: number;
 }
 
 /**
- * By how much a restore moves on what must never repeat: nodes and the platform may know numbers
- * that were given after the backup was taken.
+ * Amounts added to the numbers of a restored backup. These numbers must never repeat, and nodes and
+ * the platform may have received higher ones, issued after the backup was taken.
  */
 const RESTORE_INCREMENT = { index: 1_000_000_000, revision: 1_000_000, fence: 1_000_000 } as const;
 
@@ -39,15 +39,15 @@
 }
 
 /**
- * The replicated state: keys, configuration, claims, usage, orders and suspicions. Time is that of
- * the commands alone, so that each replica comes to the same state.
+ * The replicated state: keys, configuration, claims, usage, orders and suspicions. Time is read only
+ * from the commands, so that all replicas reach the same state.
  * @public
  */
 export class Ledger extends StateMachine {
-  /** Changes of the last applied command, for the feed. */
+  /** Feed changes made by the last applied command. */
   lastChanges: readonly FeedChange[] = [];
 
-  /** Called after a snapshot has replaced the state. */
+  /** Called after a snapshot or a backup has replaced the state. */
   onRestore: () => void = () => {};
 
   readonly feed = new StateCopy();
@@ -79,14 +79,14 @@
     this.#outcomes = new Outcomes(options.keptOutcomes);
   }
 
-  /** Greatest time of a command so far, in wall-clock milliseconds. */
+  /** Latest time of any applied command, in wall-clock milliseconds. */
   get clock(): number {
     return this.#clock;
   }
 
   /**
-   * Index of the last command, on the scale of the feed. The index of the feed itself is that of
-   * the last command that changed something for the nodes.
+   * Feed index of the last applied command: its log index plus the offset added by restores.
+   * `feed.index` is lower when the last commands made no feed change.
    */
   get index(): number {
     return this.#index;
@@ -214,7 +214,7 @@
     for (const record of records) {
       const age = record.ageMs ?? 0;
       const isNew = this.marks.count(incarnation, record.sequence, this.#clock);
-      // What is older than the memory of its run may have been counted before.
+      // Without a mark for the incarnation, an old record may already have been counted.
       const isTooOld = !isKnown && age > MAX_USAGE_AGE_MS;
       if (isNew && !isTooOld) this.windows.add(record, at - age);
       if (isTooOld) dropped += 1;
--- a/packages/ledger/src/lib/Restoration.ts
+++ b/packages/ledger/src/lib/Restoration.ts
@@ -4,10 +4,10 @@
 const packr = new Packr({ useRecords: false });
 const unpackr = new Unpackr({ useRecords: false });
 
-/** Bytes of a backup in one command. */
+/** Maximum number of backup bytes in one command. */
 const PART_BYTES = 256 * 1024;
 
-/** Cuts a backup into commands for a new group. @public */
+/** Splits a backup into the commands that restore it into a new group. @public */
 export function splitBackup(backup: Uint8Array, at: number): CommandOf<'restorePart'>[] {
   const parts = Math.max(1, Math.ceil(backup.byteLength / PART_BYTES));
   return Array.from({ length: parts }, (_, index) => ({
@@ -19,11 +19,11 @@
   }));
 }
 
-/** Gathers the parts of a backup until it is whole. @internal */
+/** Collects the parts of a backup until it is complete. @internal */
 export class Restoration {
   #parts: Uint8Array[] = [];
 
-  /** Takes the next part; false when it is out of order. The first part starts over. */
+  /** Adds the next part. Returns false when it is out of order. Part 1 discards earlier parts. */
   add({ part, bytes }: CommandOf<'restorePart'>): boolean {
     if (part === 1) this.#parts = [];
     if (part !== this.#parts.length + 1) return false;
@@ -31,7 +31,7 @@
     return true;
   }
 
-  /** The whole backup; the parts are forgotten. */
+  /** Returns the complete backup and discards its parts. */
   assemble(): Uint8Array {
     const whole = Buffer.concat(this.#parts);
     this.#parts = [];
--- a/packages/ledger/src/lib/Suspicions.ts
+++ b/packages/ledger/src/lib/Suspicions.ts
@@ -5,17 +5,17 @@
 
 const MINUTE_MS = 60_000;
 
-/** Crashes after which a fingerprint is held back. @public */
+/** Crashes after which a fingerprint is quarantined. @public */
 export const QUARANTINE_CRASHES = 2;
 
-/** Time for which a fingerprint is suspected, or held back after its last crash. @public */
+/** Time for which a fingerprint stays suspected or quarantined after its last crash. @public */
 export const SUSPICION_MS = 10 * MINUTE_MS;
 
-/** Fingerprints that are suspected at a time; further ones are refused until some expire. */
+/** Maximum number of suspected fingerprints; more are rejected until some expire. */
 const CAPACITY = 10_000;
 
 interface Suspect extends Suspicion {
-  /** Names of the crashes, so that several witnesses of one crash count it once. */
+  /** Ids of the counted crashes, so that several reports of one crash count once. */
   readonly witnessed: readonly string[];
 }
 
@@ -29,7 +29,7 @@
 export class Suspicions {
   readonly #suspects = new Map<string, Suspect>();
 
-  /** Counts a crash against the fingerprints; returns what has changed. */
+  /** Counts a crash for each fingerprint. Returns the suspicions that changed. */
   suspect(fingerprints: readonly string[], crash: string, now: number): Result<Suspicion[], Code> {
     const changed = this.#expire(now);
     const added = fingerprints.filter((fingerprint) => !this.#suspects.has(fingerprint));
@@ -41,7 +41,7 @@
     return ok(changed);
   }
 
-  /** Ends the suspicion of a request that has run whole, unless it is in quarantine. */
+  /** Clears the suspicion of a request that ran to completion, unless it is in quarantine. */
   clear(fingerprint: string, now: number): Suspicion[] {
     const changed = this.#expire(now);
     const suspect = this.#suspects.get(fingerprint);
@@ -69,7 +69,7 @@
       untilMs: now + SUSPICION_MS,
       witnessed: [...witnessed, crash],
     };
-    // Suspects stand in the order of their ends.
+    // Reinserted at the end: the map is ordered by expiry time, as #expire() requires.
     this.#suspects.delete(fingerprint);
     this.#suspects.set(fingerprint, suspect);
     return suspect;
--- a/packages/ledger/src/lib/UsageMarks.ts
+++ b/packages/ledger/src/lib/UsageMarks.ts
@@ -3,21 +3,21 @@
 const HOUR_MS = 3_600_000;
 
 /**
- * Age up to which usage of a run that is not remembered is counted. Marks outlast it, so that none
- * is counted twice.
+ * Maximum age of a usage record that is counted when its incarnation has no mark. Marks are retained
+ * for longer than this, so that no record is counted twice.
  * @internal
  */
 export const MAX_USAGE_AGE_MS = 12 * HOUR_MS;
 
-/** Time after its last usage for which a run is remembered. */
+/** Time for which the mark of an incarnation is retained after its last usage record. */
 const MARK_LIFETIME_MS = 2 * MAX_USAGE_AGE_MS;
 
 interface Mark {
-  /** All sequence numbers up to this one are counted. */
+  /** All sequence numbers up to and including this one are counted. */
   readonly mark: number;
-  /** Numbers counted beyond it, by receipts of entries for a dead sidecar. */
+  /** Counted sequence numbers above `mark`, from receipts that entries send for a dead sidecar. */
   readonly beyond: readonly number[];
-  /** Ledger's clock at the last usage. */
+  /** Ledger clock at the last usage record. */
   readonly at: number;
 }
 
@@ -30,8 +30,8 @@
 }
 
 /**
- * What has been counted of each run of a sidecar, so that each record counts once, whether the
- * sidecar or an entry hands it in, and in whatever order.
+ * Sequence numbers counted for each incarnation of a sidecar. Each record counts once, in any order
+ * of arrival and whether the sidecar or an entry sends it.
  * @internal
  */
 export class UsageMarks {
@@ -41,12 +41,12 @@
     return this.#marks.get(incarnation)?.mark ?? 0;
   }
 
-  /** Whether the run is remembered. */
+  /** Whether a mark of the incarnation is retained. */
   isKnown(incarnation: IncarnationId): boolean {
     return this.#marks.has(incarnation);
   }
 
-  /** Counts a record; false when it was counted before. */
+  /** Counts a record. Returns false when it was already counted. */
   count(incarnation: IncarnationId, sequence: number, now: number): boolean {
     const run = this.#touch(incarnation, now);
     if (sequence <= run.mark || run.beyond.has(sequence)) return false;
@@ -69,7 +69,7 @@
     }
   }
 
-  /** The run with its time brought up; runs stand in the order of their times. */
+  /** Updates the time of a mark, and expires old marks. Marks are kept in order of time. */
   #touch(incarnation: IncarnationId, now: number): MutableMark {
     const run = this.#marks.get(incarnation) ?? { mark: 0, beyond: new Set<number>(), at: now };
     run.at = now;
--- a/packages/ledger/src/lib/digestCommand.ts
+++ b/packages/ledger/src/lib/digestCommand.ts
@@ -2,8 +2,8 @@
 import type { Command } from './Command';
 
 /**
- * Digest of what a command asks for, without its time: a resend has the same digest. The secret of
- * a key is left out, as a resent `giveKey` may come with another one.
+ * Digest of the content of a command. It leaves out the time, so that a resend has the same digest.
+ * For `giveKey` it covers only the workspace, as a resend may carry a newly generated key.
  * @internal
  */
 export function digestCommand(command: Command): string {
--- a/packages/ledger/src/lib/migrations.ts
+++ b/packages/ledger/src/lib/migrations.ts
@@ -1,12 +1,12 @@
 import { assert } from '@berylwood/base';
 
-/** A record of some version, before it is validated. */
+/** A stored record of any version, before validation. */
 type StoredRecord = Record<string, unknown>;
 
-/** One step from a version to the next. */
+/** Migrates a record from one version to the next. */
 type Migration = (record: StoredRecord) => StoredRecord;
 
-/** Version 1 wrote the command bare; from version 2 on it stands in an envelope. */
+/** Version 1 stored the command without an envelope; version 2 adds one with the version. */
 function wrapCommand(record: StoredRecord): StoredRecord {
   return { version: 2, command: record };
 }
@@ -16,7 +16,7 @@
   readonly marks: [string, number][];
 }
 
-/** Version 1 kept outcomes without the index of their execution. */
+/** Version 1 stored outcomes without the index at which the change was executed. */
 function addOutcomeIndex(
   [change, outcome]: [string, StoredRecord],
   index: number,
@@ -25,8 +25,8 @@
 }
 
 /**
- * Version 1 counted usage without windows: its lines become those of one window that starts at 0,
- * and its marks are taken over with no sequence counted beyond them.
+ * Version 1 counted usage without windows. Its lines become one window that starts at 0. Its marks
+ * are kept, with no sequence numbers counted beyond them.
  */
 function splitUsageIntoWindows(record: StoredRecord): StoredRecord {
   const { lines, marks } = record.usage as VersionOneUsage;
@@ -76,12 +76,12 @@
   return current;
 }
 
-/** Brings a stored command to the version and takes it out of its envelope. @internal */
+/** Migrates a stored command to `version` and removes its envelope. @internal */
 export function migrateCommand(record: unknown, version: number): unknown {
   return migrate(record as StoredRecord, version, commandMigrations).command;
 }
 
-/** Brings a stored snapshot to the version. @internal */
+/** Migrates a stored snapshot to `version`. @internal */
 export function migrateSnapshot(record: unknown, version: number): unknown {
   return migrate(record as StoredRecord, version, snapshotMigrations);
 }
--- a/packages/ledger/src/lib/orderLife.ts
+++ b/packages/ledger/src/lib/orderLife.ts
@@ -1,12 +1,12 @@
 import { getNextSnapshot, setup } from 'xstate';
 
-/** Steps in the life of an order. @public */
+/** States in the life cycle of an order. @public */
 export type OrderStep = 'intended' | 'sent' | 'unknown' | 'answered';
 
-/** What may happen to an order. @internal */
+/** Events that change the state of an order. @internal */
 export type OrderEvent = { type: 'send' } | { type: 'lose' } | { type: 'answer' };
 
-/** An order is recorded before it is sent, and sent again while its answer is not known. */
+/** An order is recorded before it is sent, and may be resent until its reply is recorded. */
 const machine = setup({ types: { events: {} as OrderEvent } }).createMachine({
   id: 'order',
   initial: 'intended',
@@ -18,7 +18,7 @@
   },
 });
 
-/** The step after an event, or undefined when the event does not fit the step. @internal */
+/** Returns the step after an event, or undefined if the step does not allow it. @internal */
 export function nextStep(step: OrderStep, event: OrderEvent): OrderStep | undefined {
   const snapshot = machine.resolveState({ value: step });
   if (!snapshot.can(event)) return undefined;
