--- a/packages/ledger/src/lib/Claims.test.ts
+++ b/packages/ledger/src/lib/Claims.test.ts
@@ -36,7 +36,7 @@
   return new Claims(limits);
 }
 
-test('one attempt in all is granted, and asks again without harm', () => {
+test('exactly one attempt is granted, and is granted again when it asks again', () => {
   const claims = createClaims();
   assert.equal(answerOf(claims, claimOf('att-1')), 'granted');
   assert.equal(answerOf(claims, claimOf('att-2')), 'running');
@@ -45,7 +45,7 @@
   assert.equal(answerOf(claims, claimOf('att-4', { workspace: asWorkspaceId('b') })), 'granted');
 });
 
-test('a settled claim shows its first outcome, also to the attempt itself', () => {
+test('a settled claim returns its first outcome, also to the attempt that settled it', () => {
   const claims = createClaims();
   answerOf(claims, claimOf('att-1'));
   assert.ok(claims.settle(settleOf('att-1', 'first'), 1).isOk());
@@ -57,14 +57,14 @@
   }
 });
 
-test('a full table refuses new claims and forgets none', () => {
+test('a full table rejects new claims and drops none', () => {
   const claims = createClaims({ claims: 1 });
   answerOf(claims, claimOf('att-1'));
   assert.equal(answerOf(claims, claimOf('att-2', { idempotencyKey: 'b' })), 'claimsFull');
   assert.equal(answerOf(claims, claimOf('att-3')), 'running');
 });
 
-test('a claim that nobody settles becomes of unknown outcome, not free again', () => {
+test('an unsettled claim expires with an unknown outcome and is not granted again', () => {
   const claims = createClaims({ runningMs: 100, settledMs: 200 });
   answerOf(claims, claimOf('att-1'));
   const answer = claims.claim(claimOf('att-2'), 150)._unsafeUnwrap();
@@ -73,7 +73,7 @@
   assert.equal(answerOf(claims, claimOf('att-4'), 360), 'granted');
 });
 
-test('a body that is too large is left out and said to be', () => {
+test('a body that is too large is omitted, and a header marks the omission', () => {
   const claims = createClaims({ bodyBytes: 3 });
   answerOf(claims, claimOf('att-1'));
   claims.settle(settleOf('att-1', 'long'), 1);
--- a/packages/ledger/src/lib/Claims.ts
+++ b/packages/ledger/src/lib/Claims.ts
@@ -8,17 +8,17 @@
 const HOUR_MS = 60 * MINUTE_MS;
 const MIB = 1024 * 1024;
 
-/** Bounds of the table of claims. @public */
+/** Limits of the claim table. @public */
 export interface ClaimLimits {
-  /** Claims held at most; a further one is refused. */
+  /** Maximum number of claims; more are rejected. */
   readonly claims: number;
-  /** Bytes of stored answers held at most; an answer beyond is settled without its body. */
+  /** Maximum total size of stored bodies, in bytes; beyond it, a response is stored without body. */
   readonly bytes: number;
-  /** Largest body of an answer that is stored, in bytes. */
+  /** Maximum size of one stored response body, in bytes. */
   readonly bodyBytes: number;
-  /** Time after which a claim that nobody has settled counts as of unknown outcome. */
+  /** Time after which an unsettled claim is settled with an unknown outcome. */
   readonly runningMs: number;
-  /** Time for which the outcome of a claim is kept. */
+  /** Time for which the outcome of a claim is retained. */
   readonly settledMs: number;
 }
 
@@ -39,13 +39,13 @@
   readonly request: string;
   readonly attempt: string;
   readonly endpoint: string;
-  /** When the claim was granted or settled, on the ledger's clock. */
+  /** Ledger clock when the claim was granted or, later, settled. */
   readonly at: number;
-  /** Missing while the request runs. */
+  /** Absent while the request runs. */
   readonly settled?: Settled;
 }
 
-/** Says that the body of the first answer was too large to be kept. */
+/** Marks a stored response whose body was too large to be retained. */
 const OMITTED_HEADER = { 'berylwood-stored-body': 'omitted' };
 
 const expired: Settled = {
@@ -65,9 +65,9 @@
 }
 
 /**
- * Claims of non-idempotent requests. Each pair of workspace and idempotency key is granted to one
- * attempt in all; only that attempt gets the same answer again. A full table refuses new claims
- * rather than forget one before its time. Claims stand in the order of their times.
+ * Claims of non-idempotent requests. Each pair of workspace and idempotency key is granted to exactly
+ * one attempt; only that attempt is granted it again when it asks again. A full table rejects new
+ * claims instead of dropping one before it expires. Claims are kept in order of time.
  * @internal
  */
 export class Claims {
@@ -96,7 +96,7 @@
     return ok({ type: 'granted' });
   }
 
-  /** Stores the outcome of a claim; one that is settled keeps its first outcome. */
+  /** Stores the outcome of a claim. A claim that is already settled keeps its first outcome. */
   settle(command: CommandOf<'settle'>, now: number): Result<void, Code> {
     this.#expire(now);
     const { workspace, idempotencyKey, request, outcome, status, headers, body } = command;
--- a/packages/ledger/src/lib/Ledger.test.ts
+++ b/packages/ledger/src/lib/Ledger.test.ts
@@ -16,7 +16,7 @@
 
 const FIXTURES = 'packages/ledger/fixtures';
 
-/** A ledger that is driven by typed commands. */
+/** Creates a ledger with helpers that apply typed commands. */
 function createHarness(ledger = new Ledger()) {
   let index = 0;
   const apply = (command: Command): CommandOutcome => {
@@ -44,7 +44,7 @@
   assert.equal(outcome.type === 'refused' && outcome.code, code.number);
 }
 
-test('of two changes against one revision the first wins, and the other names it', () => {
+test('the second change based on one revision is rejected with the id of the first', () => {
   const { configure } = createHarness();
   const winner = createChangeId();
   assert.equal(configure(0, winner).type, 'done');
@@ -53,7 +53,7 @@
   assert.match(loser.type === 'refused' ? loser.message : '', new RegExp(winner));
 });
 
-test('a resent change gets its first answer and is not applied again', () => {
+test('a resent change returns its first outcome and is not applied again', () => {
   const { ledger, configure } = createHarness();
   const change = createChangeId();
   const first = configure(0, change);
@@ -62,7 +62,7 @@
   assert.equal(ledger.feed.revision, 2);
 });
 
-test('the id of a change is not taken for another change', () => {
+test('a change id is rejected for another change', () => {
   const { apply, configure } = createHarness();
   const change = createChangeId();
   configure(0, change);
@@ -70,7 +70,7 @@
   assertRefused(other, ledgerCodes.changeReused);
 });
 
-test('a change older than the kept outcomes is refused, never applied a second time', () => {
+test('a change older than the retained outcomes is rejected, not applied again', () => {
   const { ledger, apply, configure } = createHarness(new Ledger({ keptOutcomes: 2 }));
   configure(0);
   const give = giveKey(createChangeId(ledger.index), 'a'.repeat(64));
@@ -85,7 +85,7 @@
   assert.equal(configure(3).type, 'done');
 });
 
-test('a resent gift of a key names the first key, whatever secret it comes with', () => {
+test('a resent giveKey returns the first key, even with another secret', () => {
   const { ledger, apply, configure } = createHarness();
   configure(0);
   const change = createChangeId();
@@ -96,7 +96,7 @@
   assert.equal(second.type === 'done' && second.key?.hash, 'a'.repeat(64));
 });
 
-test('an order is sent only under the present fencing number', () => {
+test('an order is sent only with the current fencing number', () => {
   const { apply } = createHarness();
   apply({ type: 'fence', at: 1, replica: 'a' });
   const order = asId<'order'>('ord-1');
@@ -107,7 +107,7 @@
   assert.equal(apply({ type: 'sendOrder', at: 1, order, fence: 2 }).type, 'done');
 });
 
-test('a snapshot restores the whole state', () => {
+test('a snapshot restores the complete state', () => {
   const { ledger, apply, configure } = createHarness();
   const change = createChangeId();
   const first = configure(0, change);
@@ -136,7 +136,7 @@
   }
 });
 
-test('a backup is restored into a new group only, with its numbers moved on', () => {
+test('a backup is restored only into a new group, and its numbers are increased', () => {
   const { ledger, apply, configure } = createHarness();
   apply({ type: 'fence', at: 1, replica: 'a' });
   configure(0);
--- a/packages/ledger/src/lib/LedgerSnapshot.ts
+++ b/packages/ledger/src/lib/LedgerSnapshot.ts
@@ -12,14 +12,14 @@
 /** Version of the format in which snapshots are written. */
 const SNAPSHOT_VERSION = 2;
 
-/** The whole replicated state, as written to disk and into backups. @internal */
+/** The complete replicated state, as written to disk and to backups. @internal */
 export interface LedgerSnapshot {
   readonly version: typeof SNAPSHOT_VERSION;
-  /** Greatest time of a command, in wall-clock milliseconds. */
+  /** Latest time of any applied command, in wall-clock milliseconds. */
   readonly clock: number;
-  /** Index of the last command, on the scale of the feed. */
+  /** Feed index of the last applied command. */
   readonly index: number;
-  /** Difference between the index that nodes see and that of the log. */
+  /** Feed index minus log index; restoring a backup increases it. */
   readonly offset: number;
   readonly feed: FeedState;
   readonly changes: OutcomesState;
--- a/packages/ledger/src/lib/Orders.test.ts
+++ b/packages/ledger/src/lib/Orders.test.ts
@@ -13,7 +13,7 @@
   return orders;
 }
 
-test('an order is recorded before it is sent, and sent until it is answered', () => {
+test('an order is recorded before it is sent, and can be resent until it is answered', () => {
   const orders = createOrders();
   assert.ok(orders.lose(id, 'early', 1).isErr());
   assert.ok(orders.send(id, 1, 1).isOk());
@@ -26,7 +26,7 @@
   assert.deepEqual({ step, sends, fence }, { step: 'answered', sends: 2, fence: 2 });
 });
 
-test('a late or repeated answer does not change the first one', () => {
+test('a late reply is recorded, and a repeated one does not replace it', () => {
   const orders = createOrders();
   orders.send(id, 1, 1);
   orders.lose(id, 'no answer', 2);
--- a/packages/ledger/src/lib/Orders.ts
+++ b/packages/ledger/src/lib/Orders.ts
@@ -10,22 +10,22 @@
   readonly action: OrderAction;
   readonly step: OrderStep;
   readonly intendedAt: number;
-  /** Time of the latest step. */
+  /** Time of the latest change of `step`. */
   readonly at: number;
-  /** Fencing number under which it was last sent; 0 before. */
+  /** Fencing number under which the order was last sent; 0 if never sent. */
   readonly fence: number;
   readonly sends: number;
   readonly accepted?: boolean;
   readonly message?: string;
 }
 
-/** Orders without an answer at most; a further one is refused. */
+/** Maximum number of orders without a reply; more are rejected. */
 const MAX_OPEN = 1000;
 
-/** Answered orders that are kept for operators and for late answers. */
+/** Number of answered orders retained for operators and for late replies. */
 const MAX_ANSWERED = 1000;
 
-/** The endpoint orders with their life. @internal */
+/** Orders to the platform and to engines, with their life cycle. @internal */
 export class Orders {
   readonly #orders = new Map<OrderId, Order>();
 
@@ -33,7 +33,7 @@
     return [...this.#orders.values()];
   }
 
-  /** Orders without an answer, in the order of their intent. */
+  /** Orders without a reply, in the sequence in which they were recorded. */
   get open(): Order[] {
     return this.all.filter(({ step }) => step !== 'answered');
   }
@@ -59,7 +59,7 @@
     return this.#step(order, { type: 'lose' }, { message, at: now });
   }
 
-  /** Records an answer; a second one is left aside. */
+  /** Records the reply to an order. Later replies are ignored. */
   answer(order: OrderId, accepted: boolean, message: string, now: number): Result<void, Code> {
     if (this.#orders.get(order)?.step === 'answered') return ok(undefined);
     const answered = this.#step(order, { type: 'answer' }, { accepted, message, at: now });
--- a/packages/ledger/src/lib/Outcomes.ts
+++ b/packages/ledger/src/lib/Outcomes.ts
@@ -1,14 +1,14 @@
 import { seenIndexOf, type ChangeId } from '@berylwood/schema';
 import type { CommandOutcome } from './Command';
 
-/** Outcomes kept: more than three days of changes at 13,000 a day. */
+/** Number of retained outcomes: more than three days of changes at 13,000 a day. */
 const DEFAULT_CAPACITY = 50_000;
 
-/** An outcome with what identifies the command that had it. */
+/** Outcome of a change, with the digest that identifies its command. */
 interface StoredOutcome {
   /** Feed index at which the change was executed. */
   readonly index: number;
-  /** Missing in outcomes that version 1 kept. */
+  /** Absent in outcomes stored by version 1. */
   readonly digest?: string;
   readonly outcome: CommandOutcome;
 }
@@ -19,10 +19,12 @@
 }
 
 /**
- * Outcomes of changes, for resends. A change is executed at most once, however late it is resent:
- * every outcome after the horizon is kept, and a change whose maker had seen less than the horizon
- * is refused unless its outcome is kept. A change that was executed beyond the horizon has an
- * outcome here, as a change is executed after the index that its maker had seen.
+ * Outcomes of changes, to deduplicate resends. A change is executed at most once, however late it is
+ * resent. All outcomes with an index above the horizon are retained. A change id carries the feed
+ * index that its creator had seen, and a change executes at a later index. If the seen index is at
+ * or above the horizon, an earlier execution would therefore still have its outcome here. If it is
+ * below the horizon and no outcome is retained, the change may already have been executed, and it is
+ * rejected.
  * @internal
  */
 export class Outcomes {
@@ -40,7 +42,7 @@
     return this.#byChange.get(change);
   }
 
-  /** Whether the change may have been executed before the outcomes that are kept. */
+  /** Whether the change may have been executed, with an outcome that is no longer retained. */
   isPastRetention(change: ChangeId): boolean {
     return seenIndexOf(change) < this.#horizon && !this.#byChange.has(change);
   }
--- a/packages/ledger/src/lib/Suspicions.test.ts
+++ b/packages/ledger/src/lib/Suspicions.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { Suspicions, SUSPICION_MS } from './Suspicions';
 
-test('two crashes quarantine a fingerprint; several witnesses of one crash count once', () => {
+test('two crashes quarantine a fingerprint; several reports of one crash count once', () => {
   const suspicions = new Suspicions();
   suspicions.suspect(['a', 'b'], 'crash-1', 0);
   assert.deepEqual(suspicions.suspect(['a', 'b'], 'crash-1', 1)._unsafeUnwrap(), []);
@@ -10,7 +10,7 @@
   assert.deepEqual(changed, { fingerprint: 'a', crashes: 2, untilMs: 2 + SUSPICION_MS });
 });
 
-test('a whole run clears a neighbour of a crash, but not a quarantine', () => {
+test('a completed run clears a suspicion after one crash, but not a quarantine', () => {
   const suspicions = new Suspicions();
   suspicions.suspect(['poison', 'innocent'], 'crash-1', 0);
   suspicions.suspect(['poison'], 'crash-2', 1);
@@ -18,7 +18,7 @@
   assert.deepEqual(suspicions.clear('poison', 2), []);
 });
 
-test('a quarantine ends with its time, and its end is published', () => {
+test('a quarantine expires, and its end is published', () => {
   const suspicions = new Suspicions();
   suspicions.suspect(['poison'], 'crash-1', 0);
   suspicions.suspect(['poison'], 'crash-2', 1);
--- a/packages/ledger/src/lib/UsageMarks.test.ts
+++ b/packages/ledger/src/lib/UsageMarks.test.ts
@@ -6,7 +6,7 @@
 
 const run = asId<'incarnation'>('inc-1') as IncarnationId;
 
-test('receipts with gaps and the sidecar’s own records count once each', () => {
+test('receipts with gaps and the sidecar’s own records count once each, in any order', () => {
   const marks = new UsageMarks();
   assert.equal(marks.count(run, 1, 0), true);
   assert.equal(marks.count(run, 4, 0), true);
@@ -18,7 +18,7 @@
   assert.equal(marks.count(run, 3, 0), false);
 });
 
-test('a run is remembered for longer than its usage may be late', () => {
+test('a mark is retained for longer than the maximum age of a usage record', () => {
   const marks = new UsageMarks();
   const other = asId<'incarnation'>('inc-2') as IncarnationId;
   marks.count(run, 1, 0);
--- a/packages/ledger/src/lib/UsageWindows.test.ts
+++ b/packages/ledger/src/lib/UsageWindows.test.ts
@@ -30,7 +30,7 @@
   return (JSON.parse(report) as { lines: UsageLine[] }).lines;
 }
 
-test('usage counts in the window in which it ended', () => {
+test('usage counts in the window in which its attempt ended', () => {
   const windows = createWindows();
   windows.add(recordOf(1), 10_999);
   windows.add(recordOf(2), 11_000);
@@ -42,7 +42,7 @@
   assert.equal(reportedLines(windows, 0)[0]?.work.outputTokens, 1);
 });
 
-test('a frozen window keeps its bytes; late usage is an adjustment that names its origin', () => {
+test('a frozen report does not change, and late usage becomes an adjustment with its origin', () => {
   const windows = createWindows();
   windows.add(recordOf(1), 10_500);
   windows.close(11_000);
--- a/packages/ledger/src/lib/UsageWindows.ts
+++ b/packages/ledger/src/lib/UsageWindows.ts
@@ -3,7 +3,7 @@
 import { err, ok, type Result } from 'neverthrow';
 import { ledgerCodes } from './codes';
 
-/** Work of one workspace in one class on one model. @public */
+/** Usage of one workspace in one class on one model, within a window. @public */
 export interface UsageLine {
   readonly workspace: WorkspaceId;
   readonly class: string;
@@ -11,19 +11,19 @@
   readonly billable: boolean;
   readonly requests: number;
   readonly work: Work;
-  /** The window to which late usage belongs: the line is an adjustment of that one. */
+  /** Set on late usage: the frozen window that this line adjusts. */
   readonly origin?: WindowId;
 }
 
-/** A window with frozen figures. @public */
+/** A window whose usage is frozen. @public */
 export interface ClosedWindow {
   readonly window: WindowId;
   readonly startsAt: number;
   readonly endsAt: number;
   readonly state: 'frozen' | 'reported';
-  /** The report, byte for byte as it goes to the platform each time. */
+  /** Report for the platform. Every send carries exactly this text. */
   readonly report: string;
-  /** Fencing number of the leader whose report was taken. */
+  /** Fencing number of the leader whose report the platform accepted. */
   readonly fence?: number;
 }
 
@@ -36,10 +36,10 @@
 
 const DEFAULT_WINDOW_MS = 60_000;
 
-/** Reported windows that are kept for operators. */
+/** Number of reported windows retained for operators. */
 const MAX_REPORTED = 100;
 
-/** Windows with usage that may be open or unreported; beyond them the latest window grows. */
+/** Maximum number of open and closed windows. At the limit, usage goes to the latest open window. */
 const MAX_WINDOWS = 1000;
 
 type Bucket = Map<string, UsageLine>;
@@ -72,24 +72,24 @@
   return [...bucket].sort(([a], [b]) => (a < b ? -1 : 1)).map(([, line]) => line);
 }
 
-/** Name of the window that starts at a time. @internal */
+/** Returns the id of the window that starts at `startsAt`. @internal */
 export function windowAt(startsAt: number): WindowId {
   return asId(`window-${startsAt}`);
 }
 
 /**
- * Usage by window. Usage belongs to the window in which its attempt ended, by the clock of the
- * group. A closed window is frozen: what comes later for it goes to the earliest open window, as an
- * adjustment that names its origin.
+ * Usage by window. Usage belongs to the window in which its attempt ended, by the ledger clock. A
+ * closed window is frozen. Usage that arrives later for it goes to the earliest open window, as an
+ * adjustment with the frozen window as its `origin`.
  * @internal
  */
 export class UsageWindows {
   #windowMs: number | undefined;
 
-  /** Windows that end by this time are frozen, or had no usage. */
+  /** Windows that end at or before this time are closed: frozen, or without usage. */
   #frozenUntil = 0;
 
-  /** Lines of open windows by the start of the window. */
+  /** Lines of each open window, by start time of the window. */
   readonly #open = new Map<number, Bucket>();
 
   #closed: ClosedWindow[] = [];
@@ -102,7 +102,7 @@
     return this.#frozenUntil;
   }
 
-  /** Lines of all open windows, added up. */
+  /** Sum of the lines of all open windows. */
   get openLines(): UsageLine[] {
     const sum: Bucket = new Map();
     for (const bucket of this.#open.values())
@@ -114,14 +114,14 @@
     return this.#closed;
   }
 
-  /** Fixes the length of windows; it never changes afterwards. */
+  /** Sets the window length. Only the first call has an effect. */
   fixLength(windowMs: number, now: number): void {
     if (this.#windowMs !== undefined) return;
     this.#windowMs = windowMs;
     if (this.#frozenUntil === 0) this.#frozenUntil = this.#startOf(now);
   }
 
-  /** Counts the work of an attempt that ended at a time. */
+  /** Adds the work of an attempt that ended at `endedAt`. */
   add(record: MeterRecord, endedAt: number): void {
     const startsAt = this.#startOf(endedAt);
     const isLate = startsAt < this.#frozenUntil;
@@ -131,7 +131,7 @@
     addTo(this.#bucket(isLate ? this.#frozenUntil : startsAt), line);
   }
 
-  /** Freezes the windows that end at or before a time. */
+  /** Freezes the windows that end at or before `endsAt`. */
   close(endsAt: number): void {
     const until = this.#startOf(endsAt);
     for (const startsAt of [...this.#open.keys()].sort((a, b) => a - b)) {
