--- a/packages/schema/src/index.ts
+++ b/packages/schema/src/index.ts
@@ -1,4 +1,4 @@
-/** Settings, operator lists and the messages between processes, typed and validated. */
+/** Types and validation of settings, operator lists and messages between processes. */
 export * from './lib/ids';
 export { requestCodes } from './lib/requestCodes';
 export { settingsCodes } from './lib/settingsCodes';
--- a/packages/schema/src/lib/Configuration.ts
+++ b/packages/schema/src/lib/Configuration.ts
@@ -5,36 +5,36 @@
   .string()
   .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'expected lower-case letters, digits and hyphens');
 
-/** Lowest tier number is the most important; the plan's size has 7 tiers. */
+/** Highest tier number. Tier 1 is the most important; the planned deployment has 7 tiers. */
 const MAX_TIER = 9;
 
 /** A request class: latency targets and guarantees. @public */
 export const requestClassSchema = z.strictObject({
-  /** Target time to the first token, or to the whole answer of a plain service, in milliseconds. */
+  /** Target time to first token, or to the complete response of a plain service, in milliseconds. */
   firstTokenMs: z.number().int().positive(),
   /** Target time between tokens, in milliseconds. */
   betweenTokensMs: z.number().int().positive().default(58),
-  /** Longest time a request may wait before it is dispatched or refused, in milliseconds. */
+  /** Maximum wait of a request before it is dispatched or rejected, in milliseconds. */
   maxWaitMs: z.number().int().positive().default(60_000),
-  /** Share of the slots that the class gets at least while it has demand, so that it never starves. */
+  /** Guaranteed minimum share of the slots while the class has demand; prevents starvation. */
   minimumShare: z.number().min(0).max(0.5).default(0.01),
-  /** Worth of one request answered within its targets, in units of money. */
+  /** Value of one request served within its targets, in units of money. */
   value: z.number().nonnegative().default(1),
 });
 
-/** What a plan may use. @public */
+/** Classes, models, services and limits of a plan. @public */
 export const planSchema = z.strictObject({
   /** Weight of a workspace of this plan among those of the same tier. */
   share: z.number().positive().default(1),
   /** Request classes the plan may use, each with its tier; tier 1 is the highest. */
   classes: z.record(nameSchema, z.number().int().min(1).max(MAX_TIER)),
-  /** Class of a request that names none. */
+  /** Class of requests that do not specify one. */
   defaultClass: nameSchema,
   models: z.array(nameSchema).default([]),
   services: z.array(nameSchema).default([]),
-  /** Limit of work per workspace, in tokens a second; no limit when left out. */
+  /** Work limit of each workspace, in tokens per second; unlimited if omitted. */
   tokensPerSecond: z.number().positive().optional(),
-  /** Limit of requests of a workspace that run or wait at a time; no limit when left out. */
+  /** Maximum running and waiting requests of each workspace; unlimited if omitted. */
   concurrentRequests: z.number().int().positive().optional(),
 });
 
@@ -43,26 +43,26 @@
 
 export type Method = z.output<typeof methodSchema>;
 
-/** A path prefix that leads to a plain service. @public */
+/** Routes a path prefix to a plain service. @public */
 export const serviceRouteSchema = z.strictObject({
   path: z.string().regex(/^\/[\w\-/]*$/, 'expected a path that starts with "/"'),
   service: nameSchema,
   methods: z.array(methodSchema).default(['GET', 'POST']),
-  /** Whether a call may be repeated without another effect. */
+  /** Whether repeating a call has no further effect. */
   idempotent: z.boolean(),
 });
 
-/** Price and bounds of the endpoints of one data centre. @public */
+/** Price and number limits of the endpoints of one model in one data centre. @public */
 export const zoneSchema = z.strictObject({
   dataCentre: nameSchema,
   model: nameSchema,
-  /** Price of one running endpoint, in units of money an hour. */
+  /** Price of one running endpoint, in units of money per hour. */
   pricePerHour: z.number().nonnegative(),
   minimum: z.number().int().nonnegative().default(0),
   maximum: z.number().int().nonnegative(),
 });
 
-/** The list of what each plan may use, with the classes and routes that it names. @public */
+/** Operator list of the plans, with request classes, service routes and zones. @public */
 export const planListSchema = z.strictObject({
   classes: z.record(nameSchema, requestClassSchema),
   plans: z.record(nameSchema, planSchema),
@@ -70,12 +70,12 @@
   zones: z.array(zoneSchema).default([]),
 });
 
-/** The list of customers' plans. @public */
+/** Operator list of the customers, each with its plan. @public */
 export const customerListSchema = z.strictObject({
   customers: z.record(nameSchema, z.strictObject({ plan: nameSchema })),
 });
 
-/** Both operator lists, as in force under one revision. @public */
+/** Both operator lists, combined under one revision. @public */
 export const configurationSchema = z.strictObject({
   ...planListSchema.shape,
   ...customerListSchema.shape,
@@ -89,7 +89,7 @@
 export type CustomerList = z.output<typeof customerListSchema>;
 export type Configuration = z.output<typeof configurationSchema>;
 
-/** The configuration before an operator has applied any. @public */
+/** Configuration in force until an operator applies one. @public */
 export const emptyConfiguration: Configuration = {
   classes: {},
   plans: {},
--- a/packages/schema/src/lib/Order.ts
+++ b/packages/schema/src/lib/Order.ts
@@ -5,14 +5,14 @@
 
 const endpoint = idSchema<EndpointId>();
 
-/** What the platform's ordering interface is asked for. @public */
+/** Action of an order to the platform. @public */
 export const platformActionSchema = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('start'),
     dataCentre: idSchema<DataCentreId>(),
     model: nameSchema,
   }),
-  /** The incarnation names the run of the sidecar that is meant; a later run is not stopped. */
+  /** If an incarnation of the sidecar is given, a later incarnation is not stopped. */
   z.object({
     type: z.literal('stop'),
     endpoint,
@@ -20,7 +20,7 @@
   }),
 ]);
 
-/** What an engine is asked for, by way of its sidecar. @public */
+/** Action of an order to an engine, delivered by its sidecar. @public */
 export const endpointActionSchema = z.discriminatedUnion('type', [
   z.object({
     type: z.literal('load'),
@@ -31,10 +31,10 @@
   z.object({ type: z.literal('role'), endpoint, role: z.string().min(1).max(63) }),
 ]);
 
-/** Any order of the control group. @public */
+/** Action of any order of the control group. @public */
 export const orderActionSchema = z.union([platformActionSchema, endpointActionSchema]);
 
-/** One instance as the platform's list shows it. @public */
+/** One item of the platform's list of instances. @public */
 export const platformInstanceSchema = z.object({
   endpoint,
   instance: z.string(),
@@ -42,7 +42,7 @@
   state: z.enum(['live', 'leaving']),
 });
 
-/** The platform's lagging list of instances. @public */
+/** The platform's list of instances. It lags behind the actual state. @public */
 export const platformListSchema = z.object({ instances: z.array(platformInstanceSchema) });
 
 export type PlatformAction = z.output<typeof platformActionSchema>;
--- a/packages/schema/src/lib/ids.ts
+++ b/packages/schema/src/lib/ids.ts
@@ -2,21 +2,21 @@
 
 /** A tenant, named in the list of customers' plans. @public */
 export type WorkspaceId = Id<'workspace'>;
-/** A model engine or plain service with its sidecar; the same id over restarts. @public */
+/** A model engine or plain service with its sidecar; the id is stable across restarts. @public */
 export type EndpointId = Id<'endpoint'>;
 /** A machine of the platform. @public */
 export type InstanceId = Id<'instance'>;
 /** A data centre of the platform. @public */
 export type DataCentreId = Id<'dataCentre'>;
-/** One run of a process, or of an endpoint: a restart makes a new one. @public */
+/** One incarnation of a process or endpoint; each restart creates a new id. @public */
 export type IncarnationId = Id<'incarnation'>;
 /** One request of a caller. @public */
 export type RequestId = Id<'request'>;
-/** One try to run a request on one endpoint. @public */
+/** One attempt to run a request on one endpoint. @public */
 export type AttemptId = Id<'attempt'>;
-/** One API key; says nothing about its secret. @public */
+/** One API key; the id reveals nothing about its secret. @public */
 export type KeyId = Id<'key'>;
-/** One operator's change: resent under the same id, it is applied once. @public */
+/** One change by an operator. A change resent under the same id is applied once. @public */
 export type ChangeId = Id<'change'>;
 /** One order to the platform or to an engine. @public */
 export type OrderId = Id<'order'>;
@@ -36,14 +36,14 @@
 /** @public */
 export const createKeyId = (): KeyId => createId('key');
 /**
- * Creates the id of a change. It carries the feed index that its maker had seen, so that the group
- * can tell a resend that is older than its memory of outcomes from a new change.
+ * Creates the id of a change. It carries the feed index that its creator had seen, so that the group
+ * can distinguish a resend whose outcome is no longer retained from a new change.
  * @public
  */
 export const createChangeId = (seenIndex = 0): ChangeId =>
   createId(`chg-${seenIndex.toString(36)}`);
 
-/** Feed index that the maker of a change had seen; 0 when the id carries none. @public */
+/** Feed index that the creator of a change had seen; 0 if the id carries none. @public */
 export function seenIndexOf(change: ChangeId): number {
   const [, digits] = /^chg-([0-9a-z]{1,10})-[0-9a-f]+$/.exec(change) ?? [];
   return digits === undefined ? 0 : Number.parseInt(digits, 36);
@@ -51,5 +51,5 @@
 /** @public */
 export const createOrderId = (): OrderId => createId('ord');
 
-/** Brands a workspace name that stands in the list of customers. @public */
+/** Brands a workspace name from the list of customers. @public */
 export const asWorkspaceId = (name: string): WorkspaceId => asId(name);
--- a/packages/schema/src/lib/loadConfiguration.ts
+++ b/packages/schema/src/lib/loadConfiguration.ts
@@ -59,7 +59,7 @@
   return { file, line, path: path.join('.'), message: `unknown ${kind} "${name}"${hint}` };
 }
 
-/** Reads both operator lists and checks the names that they use of each other. @public */
+/** Reads both operator lists and checks the references in and between them. @public */
 export function loadConfiguration(
   plansFile: string,
   customersFile: string,
--- a/packages/schema/src/lib/locate.ts
+++ b/packages/schema/src/lib/locate.ts
@@ -1,4 +1,4 @@
-/** A step of a path into a TOML document: a key or an index of an array. @internal */
+/** One step of a path in a TOML document: a key or an array index. @internal */
 export type Step = string | number;
 
 const HEADER = /^\s*\[\[?\s*([^\]]+?)\s*\]\]?\s*(#.*)?$/;
@@ -10,7 +10,7 @@
   return { keys, isArray: line.trim().startsWith('[[') };
 }
 
-/** Keys of the path that name tables, with the array index that follows each, if any. */
+/** Splits a path into its keys, each with the array index that follows it, or 0 if none does. */
 function splitPath(path: readonly Step[]): { key: string; index: number }[] {
   const result: { key: string; index: number }[] = [];
   for (const step of path) {
@@ -22,8 +22,8 @@
 }
 
 /**
- * Line (from 1) on which a field of a TOML document is set, as near as it can be found: the key
- * itself, else the header of its table, else 0.
+ * Returns the line, counted from 1, on which a field of a TOML document is set. If the key is not
+ * found, returns the line of the deepest table header that matches the path, or 0.
  * @internal
  */
 export function locate(text: string, path: readonly Step[]): number {
--- a/packages/schema/src/lib/naming.ts
+++ b/packages/schema/src/lib/naming.ts
@@ -22,7 +22,7 @@
   return previous[b.length] ?? 0;
 }
 
-/** The candidate nearest to a misspelt name, if any is near enough to be meant. @internal */
+/** Returns the most similar candidate to a misspelt name, if any is similar enough. @internal */
 export function nearestName(name: string, candidates: readonly string[]): string | undefined {
   const limit = Math.max(2, Math.floor(name.length / 3));
   let best: string | undefined;
--- a/packages/schema/src/lib/parseToml.ts
+++ b/packages/schema/src/lib/parseToml.ts
@@ -6,7 +6,7 @@
 import { nearestName, toCamelCase, toSnakeCase } from './naming';
 import type { Problem } from './Problem';
 
-/** Tables whose keys are names given by the operator and stay as they are. */
+/** Tables whose keys are names chosen by the operator, which are not converted to camel case. */
 const NAMED_TABLES = new Set(['customers', 'plans', 'classes', 'models', 'services']);
 
 function camelize(value: unknown, keepKeys = false): unknown {
@@ -34,7 +34,7 @@
     .slice(1);
 }
 
-/** Names that the schema allows at a path, for the hint on a misspelt one. */
+/** Field names that the schema allows at a path, for the hint about a misspelt name. */
 function allowedNames(schema: z.ZodType, path: readonly Step[]): string[] {
   let current = schema as unknown as { def: Record<string, unknown> } | undefined;
   const unwrap = (): void => {
@@ -71,8 +71,8 @@
 }
 
 /**
- * Parses a TOML text and validates it. Field names are snake case in the file and camel case in the
- * result. All problems are returned, not only the first.
+ * Parses and validates a TOML text. Field names are snake case in the file and camel case in the
+ * result. Returns all problems found by the validation, or only the first syntax error.
  * @public
  */
 export function parseToml<S extends z.ZodType>(
@@ -93,7 +93,7 @@
   return err(parsed.error.issues.flatMap((issue) => issueProblems(file, text, schema, issue)));
 }
 
-/** Reads and parses a TOML file; an unreadable file is a problem as well. @public */
+/** Reads, parses and validates a TOML file. An unreadable file is returned as a problem. @public */
 export function readToml<S extends z.ZodType>(
   schema: S,
   file: string,
--- a/packages/schema/src/lib/promptBlocks.ts
+++ b/packages/schema/src/lib/promptBlocks.ts
@@ -1,13 +1,13 @@
 import { createHash } from 'node:crypto';
 
-/** Characters of a prompt in one block of a prefix cache: 64 tokens of 4 characters. */
+/** Characters in one block of a prefix cache: 64 tokens of 4 characters. */
 const BLOCK_CHARACTERS = 256;
 
 const DIGEST_LENGTH = 16;
 
 /**
- * Digests of the full blocks of a prompt, each chained with the one before it, so that equal digests
- * mean equal prefixes. A last block that is not full has no digest.
+ * Returns the digests of the full blocks of a prompt. Each digest includes the previous one, so that
+ * equal digests mean equal prefixes. A partial last block has no digest.
  * @public
  */
 export function promptBlocks(prompt: string): string[] {
