--- a/packages/schema/src/lib/AttemptMessage.ts
+++ b/packages/schema/src/lib/AttemptMessage.ts
@@ -2,7 +2,7 @@
 import { methodSchema } from './Configuration';
 import type { AttemptId, EndpointId, IncarnationId, RequestId, WorkspaceId } from './ids';
 
-/** Validates a branded id at the border of a process. @internal */
+/** Schema of a branded id in data received by a process. @internal */
 export function idSchema<T extends string>() {
   return z
     .string()
@@ -13,16 +13,16 @@
 
 const attemptId = idSchema<AttemptId>();
 
-/** Bytes of a body or an answer. @internal */
+/** Bytes of a request or response body. @internal */
 export const bytesSchema = z.custom<Uint8Array>(
   (value) => value instanceof Uint8Array,
   'expected bytes',
 );
 
-/** A positive integer that counts bytes, tokens or milliseconds. */
+/** A non-negative integer, such as a number of bytes, tokens or milliseconds. */
 const count = z.number().int().nonnegative();
 
-/** What a sidecar needs in order to run one attempt. @public */
+/** Request to a sidecar to run one attempt. @public */
 export const dispatchSchema = z.object({
   type: z.literal('dispatch'),
   attempt: attemptId,
@@ -30,56 +30,56 @@
   workspace: idSchema<WorkspaceId>(),
   class: z.string(),
   tier: z.number().int(),
-  /** Incarnation of the sidecar that the entry means; another one refuses. */
+  /** Incarnation of the sidecar to which the entry sends; any other one rejects the attempt. */
   incarnation: idSchema<IncarnationId>(),
   idempotent: z.boolean(),
-  /** Time left until the request is of no more use, in milliseconds. */
+  /** Time left until the deadline of the request, in milliseconds. */
   deadlineMs: z.number(),
-  /** Expected work, in tokens of prompt and answer. */
+  /** Expected work: prompt and output tokens. */
   estimatedTokens: count,
   method: methodSchema,
   path: z.string(),
   headers: z.record(z.string(), z.string()),
   body: bytesSchema,
-  /** Digest of the request's content, for quarantine. */
+  /** Digest of the request content, by which it is suspected or quarantined. */
   fingerprint: z.string(),
   model: z.string().optional(),
-  /** The Idempotency-Key whose committed claim allows this attempt. */
+  /** Idempotency-Key of the committed claim that permits this attempt. */
   claim: z.string().max(255).optional(),
-  /** An endpoint crashed while the same content ran: it runs apart from other suspects. */
+  /** An endpoint crashed while it ran the same content; no other suspect runs beside it. */
   isSuspect: z.boolean().optional(),
-  /** Part of the expected work that is the prompt, in tokens. */
+  /** Prompt tokens within `estimatedTokens`. */
   promptTokens: count.optional(),
 });
 
 /** Messages from an entry to a sidecar. @public */
 export const entryMessageSchema = z.discriminatedUnion('type', [
   dispatchSchema,
-  /** Asks for the answer from a byte offset, on a new connection. */
+  /** Requests the response from a byte offset, on a new connection. */
   z.object({ type: z.literal('resume'), attempt: attemptId, offset: count }),
-  /** Bytes up to the offset have been received and may be forgotten. */
+  /** Bytes up to the offset have been received; the sidecar may discard them. */
   z.object({ type: z.literal('ack'), attempt: attemptId, offset: count }),
-  /** The caller is gone; work is stopped where it may be. */
+  /** The caller has disconnected; the sidecar stops the attempt where that is permitted. */
   z.object({ type: z.literal('cancel'), attempt: attemptId }),
-  /** Asks what became of an attempt, and forbids one that is not known to run later. */
+  /** Requests the outcome of an attempt. An attempt that is unknown to the sidecar never runs. */
   z.object({ type: z.literal('revoke'), attempt: attemptId }),
-  /** The end was received; the attempt's buffers may be released. */
+  /** The `end` message was received; the buffers of the attempt may be released. */
   z.object({ type: z.literal('release'), attempt: attemptId }),
 ]);
 
-/** Figures of the work of one attempt. @public */
+/** Work of one attempt, in tokens. @public */
 export const workSchema = z.object({
   inputTokens: count,
   outputTokens: count,
   cachedTokens: count,
 });
 
-/** Load of one endpoint as its sidecar knows it. @public */
+/** Load of one endpoint, as reported by its sidecar. @public */
 export const loadSchema = z.object({
   slots: count,
   running: count,
   waiting: count,
-  /** Tokens generated a second, over the last report interval. */
+  /** Tokens generated per second, over the last report interval. */
   tokensPerSecond: z.number(),
   /** Prompt tokens that wait for prefill. */
   prefillTokens: count,
@@ -87,7 +87,7 @@
   waitingTier: count,
   /** Highest (least important) tier number among the running attempts, or 0 when none runs. */
   runningTier: count,
-  /** Age of the endpoint's own report, in milliseconds. */
+  /** Age of the load report received from the endpoint, in milliseconds. */
   ageMs: z.number(),
   leaving: z.boolean(),
   /** No connection to the endpoint can be made. */
@@ -97,10 +97,10 @@
   generation: count,
 });
 
-/** A hint on the prefix cache of an engine; hints come late and with gaps. @public */
+/** A hint about the prefix cache of an engine. Hints arrive late, and some are lost. @public */
 export const cacheEventSchema = z.object({
   kind: z.enum(['stored', 'evicted']),
-  /** Digests of prompt blocks, each chained with the one before it. */
+  /** Digests of prompt blocks; each digest includes the previous one. */
   blocks: z.array(z.string()),
 });
 
@@ -119,7 +119,7 @@
     message: z.string(),
     retryAfterMs: z.number().optional(),
   }),
-  /** The endpoint has begun to answer. */
+  /** The endpoint has begun its response. */
   z.object({
     type: z.literal('head'),
     attempt: attemptId,
@@ -131,10 +131,10 @@
     attempt: attemptId,
     offset: count,
     bytes: bytesSchema,
-    /** Tokens of the answer generated so far. */
+    /** Output tokens generated so far. */
     tokens: count,
   }),
-  /** The answer is whole and has this length. */
+  /** The response is complete; `offset` is its length in bytes. */
   z.object({
     type: z.literal('end'),
     attempt: attemptId,
@@ -151,10 +151,10 @@
     notRun: z.union([z.boolean(), z.literal('unknown')]),
     work: workSchema,
     sequence: count,
-    /** The endpoint crashed while the attempt was there. */
+    /** The endpoint crashed while it held the attempt. */
     crashed: z.boolean().optional(),
   }),
-  /** Answer to `revoke`. `never`: has not run and never will. */
+  /** Reply to `revoke`. `never`: the attempt has not run and never will. */
   z.object({
     type: z.literal('revoked'),
     attempt: attemptId,
--- a/packages/schema/src/lib/ControlMessage.ts
+++ b/packages/schema/src/lib/ControlMessage.ts
@@ -16,14 +16,14 @@
 
 const count = z.number().int().nonnegative();
 
-/** A key as entries know it: never the secret, only its SHA-256 in hex. @public */
+/** An API key as entries receive it: the SHA-256 of its secret in hex, never the secret. @public */
 export const keyRecordSchema = z.object({
   key: idSchema<KeyId>(),
   hash: z.string().length(64),
   workspace: idSchema<WorkspaceId>(),
 });
 
-/** One endpoint with its sidecar, as known to the control group. @public */
+/** One endpoint with its sidecar, as registered with the control group. @public */
 export const memberSchema = z.object({
   endpoint: idSchema<EndpointId>(),
   incarnation: idSchema<IncarnationId>(),
@@ -38,23 +38,23 @@
   state: z.enum(['live', 'leaving']),
 });
 
-/** A fingerprint that is held back, or suspected, because endpoints crashed while it ran. @public */
+/** A fingerprint that is suspected or quarantined: endpoints crashed while it ran. @public */
 export const suspicionSchema = z.object({
   fingerprint: z.string(),
   crashes: count,
-  /** End of the quarantine, in wall-clock milliseconds. */
+  /** End of the suspicion or quarantine, in wall-clock milliseconds. */
   untilMs: z.number(),
 });
 
-/** Replicated state that each entry and sidecar holds a copy of. @public */
+/** Replicated state of which each entry and sidecar holds a copy. @public */
 export const feedStateSchema = z.object({
-  /** Log index that the state includes. */
+  /** Feed index up to which the state includes all changes. */
   index: count,
-  /** Revision of the configuration; only grows. */
+  /** Revision of the configuration; never decreases. */
   revision: count,
   configuration: configurationSchema,
   keys: z.array(keyRecordSchema),
-  /** Fencing number of the present leader for orders. */
+  /** Fencing number of the current leader, sent with its orders. */
   fence: count,
   suspicions: z.array(suspicionSchema),
 });
@@ -72,7 +72,7 @@
   z.object({ type: z.literal('suspected'), suspicion: suspicionSchema }),
 ]);
 
-/** How an attempt ended, for billing. @public */
+/** Work of one ended attempt, for billing. @public */
 export const meterRecordSchema = z.object({
   sequence: count,
   attempt: idSchema<AttemptId>(),
@@ -81,13 +81,13 @@
   class: z.string(),
   model: z.string(),
   work: workSchema,
-  /** Wasted work is metered, but billed to nobody. */
+  /** False for wasted work, which is metered but not billed. */
   billable: z.boolean(),
-  /** Time since the attempt ended when the batch was sent, in milliseconds; 0 when left out. */
+  /** Time from the end of the attempt until the batch was sent, in milliseconds; 0 if omitted. */
   ageMs: count.optional(),
 });
 
-/** Usage that a sidecar, or an entry for a dead one, hands in. @public */
+/** Usage records from a sidecar, or from an entry on behalf of a dead sidecar. @public */
 export const meterBatchSchema = z.object({
   endpoint: idSchema<EndpointId>(),
   incarnation: idSchema<IncarnationId>(),
@@ -102,24 +102,24 @@
     process: z.string(),
     incarnation: idSchema<IncarnationId>(),
     dataCentre: idSchema<DataCentreId>(),
-    /** Index that the node has applied; 0 asks for a snapshot. */
+    /** Feed index that the node has applied; 0 requests a snapshot. */
     applied: count,
     /** Present when the node is a sidecar. */
     member: memberSchema.optional(),
   }),
   z.object({
     type: z.literal('renew'),
-    /** Stamp of the node's own monotonic clock, echoed in the answer. */
+    /** Time on the node's monotonic clock, echoed in the reply. */
     sentAt: z.number(),
     applied: count,
     /** Member state, when the node is a sidecar. */
     state: z.enum(['live', 'leaving']).optional(),
   }),
-  /** All members whose sidecars are connected to an observer, sent whole by the observer. */
+  /** Complete list of the members whose sidecars are connected to the sending observer. */
   z.object({ type: z.literal('relayed'), members: z.array(memberSchema) }),
 ]);
 
-/** Calls from a node to the control group; each has an answer. @public */
+/** Calls from a node to the control group; each one has a reply. @public */
 export const nodeCallSchema = z.discriminatedUnion('type', [
   z.object({ type: z.literal('meter'), batch: meterBatchSchema }),
   z.object({
@@ -146,11 +146,11 @@
     endpoint: idSchema<EndpointId>(),
     incarnation: idSchema<IncarnationId>(),
     fingerprints: z.array(z.string()).max(64),
-    /** Names one crash of the endpoint, so that several witnesses count it once. */
+    /** Id of one crash of the endpoint, so that several reports of it count once. */
     crash: z.string().max(64).optional(),
   }),
   z.object({ type: z.literal('clear'), fingerprint: z.string() }),
-  /** An endpoint's answer to an order that its sidecar has passed on or refused. */
+  /** Reply to an order, from the endpoint or from a sidecar that rejected the order. */
   z.object({
     type: z.literal('orderAnswer'),
     order: idSchema<OrderId>(),
@@ -161,9 +161,9 @@
 
 /** Outcome of a claim on a non-idempotent request. @public */
 export const claimAnswerSchema = z.discriminatedUnion('type', [
-  /** The claim is the caller's: exactly this attempt may be dispatched. */
+  /** The claim is granted: exactly this attempt may be dispatched. */
   z.object({ type: z.literal('granted') }),
-  /** The request has ended before; here is its stored outcome. */
+  /** The request has already ended; this is its stored outcome. */
   z.object({
     type: z.literal('settled'),
     outcome: z.enum(['ran', 'notRun', 'unknown']),
@@ -172,17 +172,17 @@
     body: bytesSchema,
   }),
   z.object({ type: z.literal('running') }),
-  /** The key was used with another body. */
+  /** The Idempotency-Key was used with another request body. */
   z.object({ type: z.literal('conflict') }),
 ]);
 
 /** Messages from a control replica, or an observer, to an entry or sidecar. @public */
 export const controlMessageSchema = z.discriminatedUnion('type', [
-  /** This replica does not lead; a hint names the one that may. */
+  /** This replica is not the leader; `address`, if given, is that of the probable leader. */
   z.object({ type: z.literal('redirect'), address: z.string().optional() }),
   z.object({ type: z.literal('snapshot'), state: feedStateSchema }),
   z.object({ type: z.literal('changes'), index: count, changes: z.array(feedChangeSchema) }),
-  /** Members are soft state of the leader, sent whole or as differences with a version. */
+  /** Members are soft state of the leader, sent as a complete list (`whole`) or as differences. */
   z.object({
     type: z.literal('members'),
     whole: z.boolean(),
@@ -190,13 +190,13 @@
     removed: z.array(idSchema<EndpointId>()),
   }),
   /**
-   * Proof of freshness: at the time of `sentAt` on the node's clock, or later, everything committed
-   * was included in `index`.
+   * Proof of freshness: at `sentAt` on the node's clock or later, `index` included everything that
+   * was committed.
    */
   z.object({ type: z.literal('renewal'), sentAt: z.number(), index: count, fence: count }),
   /**
-   * An order for the endpoint of the sidecar. The sidecar refuses one whose fencing number is
-   * smaller than the greatest that it knows, and one that it has passed on before.
+   * An order for the endpoint of the sidecar. The sidecar rejects an order whose fencing number is
+   * lower than the highest one it has received, and an order that it has already forwarded.
    */
   z.object({
     type: z.literal('order'),
