--- a/packages/schema/src/lib/GatewaySettings.ts
+++ b/packages/schema/src/lib/GatewaySettings.ts
@@ -6,40 +6,40 @@
 
 /** Table `[gateway]` of the settings. @public */
 export const gatewaySettingsSchema = z.strictObject({
-  /** Name of the instance, also as holder of duties. */
+  /** Name of the instance, also as the holder of a duty. */
   instance: z.string().min(1),
   /** IP address of the instance. */
   ip: z.string().regex(/^[0-9.]+$/, 'expected an IP address'),
   dataCentre: z.string().min(1),
   /** Listener for callers. */
   callers: addressSchema,
-  /** Listener for the balancer's question whether the instance is ready. */
+  /** Listener for the load balancer's readiness check. */
   readiness: addressSchema,
-  /** Listener for operators; none if left out. */
+  /** Listener for operators; none if omitted. */
   operators: addressSchema.optional(),
-  /** Port of this instance, and of all others, for links between instances. */
+  /** Port for links between instances, the same on all instances. */
   meshPort: z.number().int().nonnegative().max(MAX_PORT),
-  /** Addresses of instances to ask first; only their IP addresses are used. */
+  /** Addresses of the instances to contact first; only their IP addresses are used. */
   seeds: z.array(addressSchema).default([]),
-  /** Whether the seeds found the registry: true only for the very first start. */
+  /** Whether the seeds bootstrap the registry: true only for the very first start. */
   bootstrap: z.boolean().default(false),
-  /** Folder of the registry's replica; none without a disk. */
+  /** Directory of the registry's replica; omitted on an instance without a disk. */
   data: z.string().optional(),
-  /** Replicas that may be lost at the same time. */
+  /** Number of replicas that may be lost at the same time. */
   tolerance: z.number().int().nonnegative().default(1),
-  /** Address of the platform; no list and no reports if left out. */
+  /** Address of the platform; if omitted, no list is read and no reports are sent. */
   platform: addressSchema.optional(),
-  /** Calls a second that the platform takes from all instances. */
+  /** Calls per second that the platform accepts from all instances together. */
   platformCallsPerS: z.number().positive().default(10),
-  /** Length of a usage window in seconds; no usage is reported if left out. */
+  /** Length of a usage window in seconds; if omitted, no usage is reported. */
   usageWindowS: z.number().positive().optional(),
-  /** Time from the SIGTERM to the SIGKILL, in seconds. */
+  /** Time from SIGTERM to SIGKILL, in seconds. */
   graceS: z.number().positive().default(30),
-  /** Repeats as a share of the requests, over all instances. */
+  /** Retries as a fraction of the requests, over all instances. */
   repeatRatio: z.number().nonnegative().default(0.2),
-  /** Repeats beyond that share in a window, over all instances. */
+  /** Retries allowed beyond that fraction in a window, over all instances. */
   repeatSlack: z.number().nonnegative().default(20),
-  /** Time for which a new leader leaves the duties of the one before alone, in milliseconds. */
+  /** Time before a new leader takes over the duties of the previous one, in milliseconds. */
   dutyPauseMs: z.number().nonnegative().default(3000),
 });
 
--- a/packages/schema/src/lib/Settings.ts
+++ b/packages/schema/src/lib/Settings.ts
@@ -4,63 +4,63 @@
 
 const MAX_PORT = 65_535;
 
-/** An IP address with a port, `HOST:PORT`; port 0 lets the kernel choose. */
+/** An IP address or `localhost` with a port, `HOST:PORT`; the kernel chooses the port if it is 0. */
 export const addressSchema = z.string().refine((value) => {
   const match = /^(\[[0-9a-fA-F:]+\]|[0-9.]+|localhost):(\d{1,5})$/.exec(value);
   return match !== null && Number(match[2]) <= MAX_PORT;
 }, 'expected IP:PORT');
 
 const processSchema = z.strictObject({
-  /** Name of the process on the time line; unique in the deployment. */
+  /** Name of the process in the timeline; unique in the deployment. */
   name: nameSchema,
   instance: nameSchema.default('local'),
   dataCentre: nameSchema.default('local'),
-  /** The consensus group that the process belongs to. */
+  /** Consensus group to which the process belongs. */
   group: nameSchema.default('default'),
-  /** Longest graceful shutdown before what is left is cut, in milliseconds. */
+  /** Maximum time of a graceful shutdown before open work is cut off, in milliseconds. */
   shutdownLimitMs: z.number().int().positive().default(120_000),
 });
 
 const logSchema = z.strictObject({
   level: z.enum(['debug', 'info', 'warn', 'error']).default('info'),
-  /** File for log lines; standard error when left out. */
+  /** File for log lines; standard error if omitted. */
   file: z.string().optional(),
-  /** Writes log lines to standard output, without ever waiting for its reader. */
+  /** Writes log lines to standard output, without ever blocking on a slow reader. */
   output: z.boolean().default(false),
 });
 
 const certificateSchema = z.strictObject({ certificate: z.string(), key: z.string() });
 
 const tlsSchema = z.strictObject({
-  /** Certificate shown to callers; the files are read again when they change. */
+  /** Server certificate for callers; the files are reloaded when they change. */
   callers: certificateSchema.optional(),
-  /** Mutual TLS between the processes of the system. */
+  /** Certificate and authority for mutual TLS between the processes of the system. */
   peers: certificateSchema.extend({ authority: z.string() }).optional(),
 });
 
-/** HTTP listener of any role for /healthz, /readyz, /metrics and /timeline. */
+/** HTTP listener for /healthz, /readyz, /metrics and /timeline, available in every role. */
 const adminSchema = z.strictObject({ listen: addressSchema });
 
 const entrySchema = z.strictObject({
   /** Listener for callers. */
   listen: addressSchema,
-  /** Addresses of the control replicas, or of observers in front of them. */
+  /** Addresses of the control replicas, or of observers that relay to them. */
   control: z.array(addressSchema).min(1),
   maxBodyBytes: z
     .number()
     .int()
     .positive()
     .default(4 * 1024 * 1024),
-  /** Time for the headers of a request to arrive, in milliseconds. */
+  /** Time-out for receiving the headers of a request, in milliseconds. */
   headersTimeoutMs: z.number().int().positive().default(10_000),
-  /** Time for a whole request to arrive, in milliseconds. */
+  /** Time-out for receiving a complete request, in milliseconds. */
   bodyTimeoutMs: z.number().int().positive().default(30_000),
   maxConnections: z.number().int().positive().default(20_000),
-  /** Requests that wait or run at a time. */
+  /** Maximum number of waiting and running requests. */
   maxRequests: z.number().int().positive().default(20_000),
-  /** Time that the balancer needs to notice an unready entry, in milliseconds. */
+  /** Time that the load balancer needs to detect an unready entry, in milliseconds. */
   balancerNoticeMs: z.number().int().nonnegative().default(2_000),
-  /** Scheduler by name; the baselines serve comparisons. */
+  /** Scheduler; all but `fair` are baselines for comparison. */
   scheduler: z.enum(['fair', 'round-robin', 'least-load']).default('fair'),
 });
 
@@ -68,30 +68,30 @@
 
 const controlSchema = z.strictObject({
   replica: nameSchema,
-  /** Folder of the log and the snapshots. */
+  /** Directory of the log and the snapshots. */
   data: z.string().min(1),
   /** Listener for the other processes of the system. */
   listen: addressSchema,
-  /** Address that other replicas use, when it differs from the listener. */
+  /** Address at which other replicas connect, if it differs from `listen`. */
   announce: addressSchema.optional(),
-  /** Listener for operators' commands. */
+  /** Listener for operator commands. */
   operator: addressSchema,
-  /** Founding voters with this one; only the first start of an empty group reads them. */
+  /** Other initial voters; read only when an empty group is bootstrapped. */
   voters: z.array(replicaSchema).default([]),
-  /** Join a running group as a learner instead of founding one. */
+  /** Joins a running group as a learner instead of bootstrapping a new one. */
   join: z.boolean().default(false),
-  /** Addresses of the platform's interfaces; no orders and reports when left out. */
+  /** Address of the platform's interfaces; if omitted, no orders or reports are sent. */
   platform: addressSchema.optional(),
   /** Length of a usage window, in milliseconds. */
   usageWindowMs: z.number().int().positive().default(60_000),
-  /** Lists applied when the group has no configuration yet, for a first start. */
+  /** Files of the operator lists that are applied if the group has no configuration yet. */
   plans: z.string().optional(),
   customers: z.string().optional(),
-  /** Key given to the first workspace on a first start; for examples and tests only. */
+  /** API key created for the first workspace on a first start; for examples and tests only. */
   demoKey: z.string().min(16).optional(),
 });
 
-/** Read-only replica between a data centre's nodes and the control group. */
+/** Read-only replica that relays between the nodes of a data centre and the control group. */
 const observerSchema = z.strictObject({
   /** Listener for entries and sidecars. */
   listen: addressSchema,
@@ -102,7 +102,7 @@
 const sidecarSchema = z.strictObject({
   /** Listener for entries. */
   listen: addressSchema,
-  /** Address that entries use, when it differs from the listener. */
+  /** Address at which entries connect, if it differs from `listen`. */
   announce: addressSchema.optional(),
   control: z.array(addressSchema).min(1),
   endpoint: nameSchema,
@@ -111,13 +111,13 @@
   address: addressSchema,
   models: z.array(nameSchema).default([]),
   service: nameSchema.optional(),
-  /** Requests handed to the endpoint at a time. */
+  /** Maximum number of requests forwarded to the endpoint at the same time. */
   slots: z.number().int().positive().default(8),
-  /** Requests held in the sidecar's own queue. */
+  /** Maximum number of requests in the sidecar's queue. */
   queue: z.number().int().nonnegative().default(64),
 });
 
-/** Share of events that a fault hits, from 0 to 1. */
+/** Fraction of events affected by an injected fault, from 0 to 1. */
 const fractionSchema = z.number().min(0).max(1);
 
 const standInSchema = z.strictObject({
@@ -126,39 +126,39 @@
   name: nameSchema.default('stand-in'),
   models: z.array(nameSchema).default([]),
   slots: z.number().int().positive().default(8),
-  /** Tokens of a prompt read a second. */
+  /** Prefill rate, in prompt tokens per second. */
   prefillRate: z.number().positive().default(8_000),
-  /** Tokens generated a second for each stream. */
+  /** Tokens generated per second for each stream. */
   decodeRate: z.number().positive().default(40),
-  /** Slowdown of each stream by each further one that runs. */
+  /** Slowdown of each stream for each other stream that runs. */
   batchSlowdown: z.number().nonnegative().optional(),
-  /** Blocks of 64 tokens that the prefix cache holds. */
+  /** Capacity of the prefix cache, in blocks of 64 tokens. */
   cacheBlocks: z.number().int().nonnegative().optional(),
-  /** Time until a cache event can be read, in milliseconds. */
+  /** Delay before a cache event becomes readable, in milliseconds. */
   cacheEventDelayMs: z.number().nonnegative().optional(),
   cacheEventLoss: fractionSchema.optional(),
-  /** Age of the figures in load reports, in milliseconds. */
+  /** Age of the measurements in load reports, in milliseconds. */
   loadLagMs: z.number().nonnegative().optional(),
-  /** Whether an engine or the platform refuses orders with an old fencing number. */
+  /** Whether an engine or the platform rejects orders with an outdated fencing number. */
   checksFence: z.boolean().optional(),
-  /** A prompt with this text ends the engine's process. */
+  /** A prompt that contains this text ends the engine's process. */
   crashMark: z.string().min(1).optional(),
-  /** Time that a call of a plain service takes, in milliseconds. */
+  /** Duration of a call of a plain service, in milliseconds. */
   delayMs: z.number().nonnegative().optional(),
-  /** Longest delay of the platform's answers, in milliseconds. */
+  /** Maximum delay of the platform's responses, in milliseconds. */
   answerDelayMs: z.number().nonnegative().optional(),
   answerLoss: fractionSchema.optional(),
   orderRepeat: fractionSchema.optional(),
   /** Lag of the platform's list of instances, in milliseconds. */
   listLagMs: z.number().nonnegative().optional(),
-  /** Rate of the platform's weight store, in bytes a second. */
+  /** Throughput of the platform's model weight store, in bytes per second. */
   weightBytesPerSecond: z.number().positive().optional(),
-  /** File that the history is appended to as JSON lines. */
+  /** File to which the history is appended as JSON lines. */
   history: z.string().min(1).optional(),
   seed: z.number().int().optional(),
 });
 
-/** Settings of one process: the roles whose tables are present run in it. @public */
+/** Settings of one process. The process runs each role whose table is present. @public */
 export const settingsSchema = z.strictObject({
   process: processSchema,
   log: logSchema.default({ level: 'info', output: false }),
