--- a/packages/ledger/src/lib/Orders.ts
+++ b/packages/ledger/src/lib/Orders.ts
@@ -10,22 +10,22 @@
   readonly action: OrderAction;
   readonly step: OrderStep;
   readonly intendedAt: number;
-  /** Time of the latest step. */
+  /** Time of the latest change of `step`. */
   readonly at: number;
-  /** Fencing number under which it was last sent; 0 before. */
+  /** Fencing number under which the order was last sent; 0 if never sent. */
   readonly fence: number;
   readonly sends: number;
   readonly accepted?: boolean;
   readonly message?: string;
 }
 
-/** Orders without an answer at most; a further one is refused. */
+/** Maximum number of orders without a reply; more are rejected. */
 const MAX_OPEN = 1000;
 
-/** Answered orders that are kept for operators and for late answers. */
+/** Number of answered orders retained for operators and for late replies. */
 const MAX_ANSWERED = 1000;
 
-/** The endpoint orders with their life. @internal */
+/** Orders to the platform and to engines, with their life cycle. @internal */
 export class Orders {
   readonly #orders = new Map<OrderId, Order>();
 
@@ -33,7 +33,7 @@
     return [...this.#orders.values()];
   }
 
-  /** Orders without an answer, in the order of their intent. */
+  /** Orders without a reply, in the sequence in which they were recorded. */
   get open(): Order[] {
     return this.all.filter(({ step }) => step !== 'answered');
   }
@@ -45,8 +45,8 @@
   intend(order: OrderId, action: OrderAction, now: number): Result<void, Code> {
     if (this.#orders.has(order)) return ok(undefined);
     if (this.open.length >= MAX_OPEN) return err(ledgerCodes.ordersFull);
-    const life = { step: 'intended', intendedAt: now, at: now, fence: 0, sends: 0 } as const;
-    this.#orders.set(order, { order, action, ...life });
+    const initial = { step: 'intended', intendedAt: now, at: now, fence: 0, sends: 0 } as const;
+    this.#orders.set(order, { order, action, ...initial });
     return ok(undefined);
   }
 
@@ -59,11 +59,11 @@
     return this.#step(order, { type: 'lose' }, { message, at: now });
   }
 
-  /** Records an answer; a second one is left aside. */
+  /** Records the reply to an order. Later replies are ignored. */
   answer(order: OrderId, accepted: boolean, message: string, now: number): Result<void, Code> {
     if (this.#orders.get(order)?.step === 'answered') return ok(undefined);
     const answered = this.#step(order, { type: 'answer' }, { accepted, message, at: now });
-    this.#forgetAnswered();
+    this.#pruneAnswered();
     return answered;
   }
 
@@ -80,7 +80,7 @@
     return ok(undefined);
   }
 
-  #forgetAnswered(): void {
+  #pruneAnswered(): void {
     const answered = this.all.filter(({ step }) => step === 'answered');
     const surplus = answered.slice(0, Math.max(0, answered.length - MAX_ANSWERED));
     for (const { order } of surplus) this.#orders.delete(order);
--- a/packages/ledger/src/lib/UsageMarks.ts
+++ b/packages/ledger/src/lib/UsageMarks.ts
@@ -3,50 +3,50 @@
 const HOUR_MS = 3_600_000;
 
 /**
- * Age up to which usage of a run that is not remembered is counted. Marks outlast it, so that none
- * is counted twice.
+ * Maximum age of a usage record that is counted when its incarnation has no mark. Marks are retained
+ * for longer than this, so that no record is counted twice.
  * @internal
  */
 export const MAX_USAGE_AGE_MS = 12 * HOUR_MS;
 
-/** Time after its last usage for which a run is remembered. */
+/** Time for which the mark of an incarnation is retained after its last usage record. */
 const MARK_LIFETIME_MS = 2 * MAX_USAGE_AGE_MS;
 
 interface Mark {
-  /** All sequence numbers up to this one are counted. */
+  /** All sequence numbers up to and including this one are counted. */
   readonly mark: number;
-  /** Numbers counted beyond it, by receipts of entries for a dead sidecar. */
+  /** Counted sequence numbers above `mark`, from receipts that entries send for a dead sidecar. */
   readonly beyond: readonly number[];
-  /** Ledger's clock at the last usage. */
+  /** Ledger clock at the last usage record. */
   readonly at: number;
 }
 
 export type UsageMarksState = readonly [IncarnationId, Mark][];
 
-interface Counted {
+interface MutableMark {
   mark: number;
   readonly beyond: Set<number>;
   at: number;
 }
 
 /**
- * What has been counted of each run of a sidecar, so that each record counts once, whether the
- * sidecar or an entry hands it in, and in whatever order.
+ * Sequence numbers counted for each incarnation of a sidecar. Each record counts once, in any order
+ * of arrival and whether the sidecar or an entry sends it.
  * @internal
  */
 export class UsageMarks {
-  readonly #runs = new Map<IncarnationId, Counted>();
+  readonly #marks = new Map<IncarnationId, MutableMark>();
 
   markOf(incarnation: IncarnationId): number {
-    return this.#runs.get(incarnation)?.mark ?? 0;
+    return this.#marks.get(incarnation)?.mark ?? 0;
   }
 
-  /** Whether the run is remembered. */
+  /** Whether a mark of the incarnation is retained. */
   isKnown(incarnation: IncarnationId): boolean {
-    return this.#runs.has(incarnation);
+    return this.#marks.has(incarnation);
   }
 
-  /** Counts a record; false when it was counted before. */
+  /** Counts a record. Returns false when it was already counted. */
   count(incarnation: IncarnationId, sequence: number, now: number): boolean {
     const run = this.#touch(incarnation, now);
     if (sequence <= run.mark || run.beyond.has(sequence)) return false;
@@ -56,28 +56,28 @@
   }
 
   toState(): [IncarnationId, Mark][] {
-    return [...this.#runs].map(([incarnation, { mark, beyond, at }]) => [
+    return [...this.#marks].map(([incarnation, { mark, beyond, at }]) => [
       incarnation,
       { mark, beyond: [...beyond], at },
     ]);
   }
 
   restore(state: UsageMarksState): void {
-    this.#runs.clear();
+    this.#marks.clear();
     for (const [incarnation, { mark, beyond, at }] of state) {
-      this.#runs.set(incarnation, { mark, beyond: new Set(beyond), at });
+      this.#marks.set(incarnation, { mark, beyond: new Set(beyond), at });
     }
   }
 
-  /** The run with its time brought up; runs stand in the order of their times. */
-  #touch(incarnation: IncarnationId, now: number): Counted {
-    const run = this.#runs.get(incarnation) ?? { mark: 0, beyond: new Set<number>(), at: now };
+  /** Updates the time of a mark, and expires old marks. Marks are kept in order of time. */
+  #touch(incarnation: IncarnationId, now: number): MutableMark {
+    const run = this.#marks.get(incarnation) ?? { mark: 0, beyond: new Set<number>(), at: now };
     run.at = now;
-    this.#runs.delete(incarnation);
-    this.#runs.set(incarnation, run);
-    for (const [oldest, { at }] of this.#runs) {
+    this.#marks.delete(incarnation);
+    this.#marks.set(incarnation, run);
+    for (const [oldest, { at }] of this.#marks) {
       if (now - at <= MARK_LIFETIME_MS) break;
-      this.#runs.delete(oldest);
+      this.#marks.delete(oldest);
     }
     return run;
   }
--- a/packages/ledger/src/lib/migrations.ts
+++ b/packages/ledger/src/lib/migrations.ts
@@ -1,13 +1,13 @@
 import { assert } from '@berylwood/base';
 
-/** A record of some version, before it is validated. */
-type Stored = Record<string, unknown>;
+/** A stored record of any version, before validation. */
+type StoredRecord = Record<string, unknown>;
 
-/** One step from a version to the next. */
-type Step = (record: Stored) => Stored;
+/** Migrates a record from one version to the next. */
+type Migration = (record: StoredRecord) => StoredRecord;
 
-/** Version 1 wrote the command bare; from version 2 on it stands in an envelope. */
-function wrapCommand(record: Stored): Stored {
+/** Version 1 stored the command without an envelope; version 2 adds one with the version. */
+function wrapCommand(record: StoredRecord): StoredRecord {
   return { version: 2, command: record };
 }
 
@@ -16,26 +16,29 @@
   readonly marks: [string, number][];
 }
 
-/** Version 1 kept outcomes without the index of their execution. */
-function keepWithIndex([change, outcome]: [string, Stored], index: number): [string, Stored] {
+/** Version 1 stored outcomes without the index at which the change was executed. */
+function addOutcomeIndex(
+  [change, outcome]: [string, StoredRecord],
+  index: number,
+): [string, StoredRecord] {
   return [change, { index, outcome: { index, ...outcome } }];
 }
 
 /**
- * Version 1 counted usage without windows: its lines become those of one window that starts at 0,
- * and its marks are taken over with no sequence counted beyond them.
+ * Version 1 counted usage without windows. Its lines become one window that starts at 0. Its marks
+ * are kept, with no sequence numbers counted beyond them.
  */
-function splitUsageIntoWindows(record: Stored): Stored {
+function splitUsageIntoWindows(record: StoredRecord): StoredRecord {
   const { lines, marks } = record.usage as VersionOneUsage;
   const { index } = record.feed as { index: number };
-  const outcomes = record.outcomes as [string, Stored][];
+  const outcomes = record.outcomes as [string, StoredRecord][];
   return {
     version: 2,
     clock: 0,
     index,
     offset: 0,
     feed: record.feed,
-    changes: { horizon: 0, outcomes: outcomes.map((kept) => keepWithIndex(kept, index)) },
+    changes: { horizon: 0, outcomes: outcomes.map((kept) => addOutcomeIndex(kept, index)) },
     history: [],
     claims: [],
     marks: marks.map(([run, mark]) => [run, { mark, beyond: [], at: 0 }]),
@@ -50,15 +53,19 @@
   };
 }
 
-const commandSteps: Record<number, Step> = { 1: wrapCommand };
+const commandMigrations: Record<number, Migration> = { 1: wrapCommand };
 
-const snapshotSteps: Record<number, Step> = { 1: splitUsageIntoWindows };
+const snapshotMigrations: Record<number, Migration> = { 1: splitUsageIntoWindows };
 
-function versionOf(record: Stored): number {
+function versionOf(record: StoredRecord): number {
   return typeof record.version === 'number' ? record.version : 1;
 }
 
-function migrate(record: Stored, version: number, steps: Record<number, Step>): Stored {
+function migrate(
+  record: StoredRecord,
+  version: number,
+  steps: Record<number, Migration>,
+): StoredRecord {
   let current = record;
   assert(versionOf(current) <= version, `version ${versionOf(current)} is newer than ${version}`);
   while (versionOf(current) < version) {
@@ -69,12 +76,12 @@
   return current;
 }
 
-/** Brings a stored command to the version and takes it out of its envelope. @internal */
+/** Migrates a stored command to `version` and removes its envelope. @internal */
 export function migrateCommand(record: unknown, version: number): unknown {
-  return migrate(record as Stored, version, commandSteps).command;
+  return migrate(record as StoredRecord, version, commandMigrations).command;
 }
 
-/** Brings a stored snapshot to the version. @internal */
+/** Migrates a stored snapshot to `version`. @internal */
 export function migrateSnapshot(record: unknown, version: number): unknown {
-  return migrate(record as Stored, version, snapshotSteps);
+  return migrate(record as StoredRecord, version, snapshotMigrations);
 }
